--- a/include/pepperturn/cluster/config_fetcher.hpp
+++ b/include/pepperturn/cluster/config_fetcher.hpp
@@ -18,7 +18,7 @@
                    std::function<void(const cluster_state&)> take);
 
     /// Tells in which zone each member is.
-    void follow(const std::vector<member>& members);
+    void set_members(const std::vector<member>& members);
     /// The newest configuration that is here; older ones are not asked for.
     void note_known(std::uint64_t revision);
     /// \p member has the configuration of \p revision.
@@ -29,25 +29,25 @@
     [[nodiscard]] std::vector<std::string> sources(bool near_only) const;
     /// Whoever connects again announces again.
     void forget_disconnected();
-    [[nodiscard]] bool is_near(const std::string& member) const;
+    [[nodiscard]] bool in_own_zone(const std::string& member) const;
     task<> fetch();
     /// Until what is known is newer, or the member asked is lost.
-    task<> wait_for_answer(instant until);
+    task<> wait_for_reply(instant until);
     /// Its answer is taken whenever it comes.
-    void ask(const std::string& member);
+    void send_request(const std::string& member);
 
     asio::io_context& m_io;
     const clock& m_time;
     member_links& m_links;
     std::string m_availability_zone;
-    std::function<void(const cluster_state&)> m_take;
+    std::function<void(const cluster_state&)> m_on_config;
     std::map<std::string, std::string> m_zones;
     std::uint64_t m_known = 0;
     std::map<std::string, std::uint64_t> m_announced;
     async_event m_changed;
     bool m_fetching = false;
     /// The connection to the member asked last has ended.
-    bool m_unanswered = false;
+    bool m_request_failed = false;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/detours.hpp
+++ b/include/pepperturn/cluster/detours.hpp
@@ -21,25 +21,25 @@
 namespace pepperturn {
 
 /// What went through neighbours so far.
-struct detour_counts
+struct relay_client_counts
 {
-    std::uint64_t m_asked = 0;
+    std::uint64_t m_requests = 0;
     /// No neighbour brought an answer.
-    std::uint64_t m_unanswered = 0;
+    std::uint64_t m_failed = 0;
 
-    friend bool operator==(const detour_counts&,
-                           const detour_counts&) = default;
+    friend bool operator==(const relay_client_counts&,
+                           const relay_client_counts&) = default;
 };
 
-class detours
+class relay_client
 {
 public:
-    detours(asio::io_context& io, const clock& time, std::string self_name,
-            std::string availability_zone);
+    relay_client(asio::io_context& io, const clock& time, std::string self_name,
+                 std::string availability_zone);
 
     /// Takes the neighbours to ask from now on. An empty list is passed over:
     /// a VM that tells it has just started.
-    void follow(std::vector<neighbour> neighbours);
+    void set_peers(std::vector<neighbour> neighbours);
     void stop();
     /// Called for what a neighbour tells of the world.
     void on_state(std::function<void(const cluster_state&)> handler)
@@ -47,113 +47,114 @@
         m_on_state = std::move(handler);
     }
     /// Neighbours are to tell of the world from now on, or not any more.
-    void want_news(bool wanted);
+    void set_subscribed(bool wanted);
 
     /// Some neighbour may reach \p member.
-    [[nodiscard]] bool hopeful(const std::string& member) const;
+    [[nodiscard]] bool may_reach(const std::string& member) const;
     /// Asks \p member through a neighbour.
     /// \param reason why it is not reached directly, for the log
     /// \param question its epoch goes with it as it is
     /// \param done comes exactly once; at once if nobody can be asked
     /// \param patience the next neighbour is tried after it at the latest; one
     /// below \ref usual_silence ends the question at twice its length
-    void ask(const std::string& member, const char* reason,
-             const frame& question, frame_done done, milliseconds patience);
+    void send_request(const std::string& member, const char* reason,
+                      const frame& question, reply_handler done,
+                      milliseconds patience);
     /// Asks a member that is not reached directly for a sign of life, unless
     /// it was heard a moment ago; at ever longer intervals while there is none.
     void probe(const std::string& member, const char* reason);
     /// The member is reached directly again.
-    void end(const std::string& member);
+    void end_relaying(const std::string& member);
 
     /// When the member last answered through a neighbour; the epoch of the
     /// clock: never.
-    [[nodiscard]] instant last_heard(const std::string& member) const;
+    [[nodiscard]] instant last_seen(const std::string& member) const;
     /// Neighbours that may be asked.
-    [[nodiscard]] std::size_t size() const
+    [[nodiscard]] std::size_t peer_count() const
     {
-        return m_rows.size();
+        return m_peers.size();
     }
-    [[nodiscard]] const detour_counts& counts() const
+    [[nodiscard]] const relay_client_counts& counts() const
     {
         return m_counts;
     }
 
 private:
-    struct neighbour_row
+    struct peer_state
     {
-        neighbour m_who;
+        neighbour m_peer;
         std::shared_ptr<frame_link> m_link;
         bool m_connecting = false;
-        bool m_dropped = false;
-        instant m_heard{};
-        instant m_avoid_until{};
+        bool m_removed = false;
+        instant m_last_received{};
+        instant m_backoff_until{};
         /// Failures in a row to connect or to answer.
         std::uint32_t m_failures = 0;
         /// Members that it does not reach, by its own word.
-        std::map<std::string, instant> m_cannot_until;
+        std::map<std::string, instant> m_unreachable_until;
         /// Questions that wait for the connection.
         std::vector<std::uint64_t> m_queued;
         /// Questions that it has not answered.
-        std::set<std::uint64_t> m_open;
+        std::set<std::uint64_t> m_pending;
     };
-    struct open_question
+    struct pending_request
     {
         std::string m_member;
         frame m_frame;
-        frame_done m_done;
+        reply_handler m_done;
         std::set<std::string> m_tried;
-        milliseconds m_patience{};
-        instant m_until{};
+        milliseconds m_reply_timeout{};
+        instant m_deadline{};
         /// When the last neighbour was asked.
-        instant m_last_try{};
-        std::string m_last_neighbour;
+        instant m_last_attempt{};
+        std::string m_last_peer;
     };
     /// A member that is asked through neighbours.
-    struct member_row
+    struct member_status
     {
-        instant m_heard{};
+        instant m_last_seen{};
         instant m_next_probe{};
         milliseconds m_probe_interval{};
         bool m_probing = false;
         /// An answer has come since it was last reached directly.
-        bool m_begun = false;
+        bool m_relaying = false;
         const char* m_reason = "";
     };
 
-    void note_probe(member_row& row, bool answered) const;
-    [[nodiscard]] std::vector<neighbour_facts>
+    void record_probe(member_status& row, bool answered) const;
+    [[nodiscard]] std::vector<relay_peer_facts>
     facts_for(const std::string& member,
               const std::set<std::string>& tried) const;
     void try_next(std::uint64_t id);
-    task<> connect(std::shared_ptr<neighbour_row> row);
-    void take_frame(const std::shared_ptr<neighbour_row>& row,
-                    const frame& value);
-    void take_answer(neighbour_row& row, std::uint64_t id, frame answer);
-    void lose(neighbour_row& row);
-    void avoid(neighbour_row& row);
+    task<> connect(std::shared_ptr<peer_state> row);
+    void handle_frame(const std::shared_ptr<peer_state>& row,
+                      const frame& value);
+    void handle_reply(peer_state& row, std::uint64_t id, frame answer);
+    void disconnect(peer_state& row);
+    void back_off(peer_state& row);
     /// Some neighbour may still answer.
-    [[nodiscard]] bool is_open(std::uint64_t id) const;
+    [[nodiscard]] bool is_pending(std::uint64_t id) const;
     /// One neighbour has no answer to a question.
-    void give_up(neighbour_row& row, std::uint64_t id);
-    void finish(std::uint64_t id, std::optional<frame> answer);
-    void start_watch();
+    void abandon_attempt(peer_state& row, std::uint64_t id);
+    void complete(std::uint64_t id, std::optional<frame> answer);
+    void start_monitor();
     /// Goes on to the next neighbour where one says nothing.
-    task<> watch_questions();
-    void look_at(std::uint64_t id);
+    task<> monitor_requests();
+    void check_request(std::uint64_t id);
 
     asio::io_context& m_io;
     const clock& m_time;
     std::string m_self_name;
     std::string m_availability_zone;
-    std::vector<std::shared_ptr<neighbour_row>> m_rows;
-    std::map<std::uint64_t, open_question> m_questions;
-    std::map<std::string, member_row> m_members;
-    std::uint64_t m_next_question = 1;
+    std::vector<std::shared_ptr<peer_state>> m_peers;
+    std::map<std::uint64_t, pending_request> m_requests;
+    std::map<std::string, member_status> m_members;
+    std::uint64_t m_next_request = 1;
     std::function<void(const cluster_state&)> m_on_state;
-    bool m_wants_news = false;
-    bool m_watching = false;
+    bool m_subscribed = false;
+    bool m_monitoring = false;
     bool m_stopped = false;
-    detour_counts m_counts;
+    relay_client_counts m_counts;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/dialing.hpp
+++ b/include/pepperturn/cluster/dialing.hpp
@@ -16,7 +16,7 @@
 {
     /// Since this VM's start, or since it lost the last member that it was
     /// connected to, whichever came later; others may be connected by now.
-    milliseconds m_since_alone{0};
+    milliseconds m_since_isolated{0};
     /// Tries of this member that failed, one after the other.
     unsigned m_failures = 0;
 
@@ -28,7 +28,7 @@
     /// Before the next try.
     milliseconds m_pause{0};
     /// How long a try may take.
-    milliseconds m_patience{0};
+    milliseconds m_timeout{0};
 
     friend bool operator==(const dial_times&, const dial_times&) = default;
 };
--- a/include/pepperturn/cluster/frame_link.hpp
+++ b/include/pepperturn/cluster/frame_link.hpp
@@ -14,10 +14,10 @@
 
 /// A peer that acknowledges nothing for this long is taken as gone: well
 /// under the time that a caller waits, far above a pause of its scheduler.
-constexpr milliseconds frame_peer_silence{1500};
+constexpr milliseconds frame_peer_timeout{1500};
 
 /// Empty: the connection ended before an answer came.
-using frame_done = std::function<void(std::optional<frame>)>;
+using reply_handler = std::function<void(std::optional<frame>)>;
 
 class frame_link : public std::enable_shared_from_this<frame_link>
 {
@@ -38,9 +38,9 @@
         return m_open;
     }
     /// It was closed since the peer sent what is no frame, or too large a one.
-    [[nodiscard]] bool violated() const
+    [[nodiscard]] bool protocol_violated() const
     {
-        return m_violated;
+        return m_protocol_violated;
     }
 
 private:
@@ -51,25 +51,26 @@
     /// Ends the link if its peer has left too much unread.
     void start_writing();
     /// Hands whole frames in \p buffer on and takes them out of it.
-    void take_frames(std::string& buffer);
+    void handle_frames(std::string& buffer);
 
     asio::io_context& m_io;
     tcp::socket m_socket;
-    std::size_t m_most_bytes;
+    std::size_t m_max_bytes;
     std::function<void(frame)> m_on_frame;
     std::function<void(const std::string&)> m_on_closed;
     /// Whole frames, each as it is shared with other links, or some together.
-    std::deque<std::shared_ptr<const std::string>> m_shared;
+    std::deque<std::shared_ptr<const std::string>> m_queued_buffers;
     std::string m_queue;
     std::size_t m_queued_bytes = 0;
     bool m_writing = false;
     bool m_open = true;
-    bool m_violated = false;
+    bool m_protocol_violated = false;
 };
 
 /// Connects within \p patience; null with \p reason set if that fails.
 [[nodiscard]] task<std::shared_ptr<frame_link>>
-connect_frames(asio::io_context& io, std::string address, milliseconds patience,
-               std::string& reason, std::size_t most_bytes = max_frame_bytes);
+connect_frame_link(asio::io_context& io, std::string address,
+                   milliseconds patience, std::string& reason,
+                   std::size_t most_bytes = max_frame_bytes);
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/freshness_keeper.hpp
+++ b/include/pepperturn/cluster/freshness_keeper.hpp
@@ -8,7 +8,7 @@
 
 namespace pepperturn {
 
-class freshness_keeper
+class freshness_poller
 {
 public:
     /// Whom to ask and what is known here, as of each question.
@@ -20,28 +20,28 @@
         std::function<std::uint64_t()> m_known_revision;
         /// A source knows a newer configuration.
         std::function<void(const std::string& source, std::uint64_t revision)>
-            m_on_newer;
+            m_on_newer_config;
         /// Sources tell this VM every view that they know, in order with
         /// their answers.
-        bool m_hears_views = false;
+        bool m_receives_views = false;
     };
 
-    freshness_keeper(asio::io_context& io, const clock& time,
+    freshness_poller(asio::io_context& io, const clock& time,
                      member_links& links, hooks what);
 
     /// Asks from now on, or no longer.
-    void want(bool wanted);
+    void set_enabled(bool wanted);
     /// Takes what this VM has from the store itself.
-    void note(const freshness_bound& own);
+    void record(const freshness_bound& own);
     [[nodiscard]] const freshness_bound& freshness() const
     {
         return m_freshness;
     }
 
 private:
-    task<> keep_asking();
+    task<> poll();
     /// \returns true if what is known is fresh now
-    task<bool> ask_once();
+    task<bool> poll_once();
 
     asio::io_context& m_io;
     const clock& m_time;
@@ -49,8 +49,8 @@
     hooks m_hooks;
     freshness_bound m_freshness;
     std::size_t m_next_source = 0;
-    bool m_wanted = false;
-    bool m_asking = false;
+    bool m_enabled = false;
+    bool m_polling = false;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/membership.hpp
+++ b/include/pepperturn/cluster/membership.hpp
@@ -25,15 +25,15 @@
     /// Members that have copied everything from this one in this epoch.
     std::set<std::string> m_copied_by;
     /// Members that have been silent for too long.
-    std::set<std::string> m_silent;
+    std::set<std::string> m_unresponsive;
     /// Members that this VM does not hear now.
-    std::set<std::string> m_unheard;
+    std::set<std::string> m_unreachable;
     std::uint32_t m_disk_losses = 1;
 };
 
 /// The view to ask for, in place of \p view; empty: it may stay.
 [[nodiscard]] std::optional<cluster_view>
-wanted_view(const cluster_view& view, const membership_facts& facts);
+desired_view(const cluster_view& view, const membership_facts& facts);
 
 /// True if this VM is out of the view and all it held is elsewhere.
 [[nodiscard]] bool is_emptied(const cluster_view& view,
@@ -53,7 +53,7 @@
     std::vector<std::string> m_required = {};
     /// As many of these as m_enough says.
     std::vector<std::string> m_any = {};
-    std::uint32_t m_enough = 0;
+    std::uint32_t m_any_needed = 0;
     /// The required ones must have gathered what others hold before.
     bool m_gathered = false;
 
--- a/include/pepperturn/cluster/news_sources.hpp
+++ b/include/pepperturn/cluster/news_sources.hpp
@@ -36,7 +36,7 @@
 
 /// Storage VMs of each zone that hear the world from the watchers, where the
 /// others hear it from them.
-constexpr std::size_t relays_in_zone = 3;
+constexpr std::size_t relays_per_zone = 3;
 
 /// The storage VMs that a storage VM hears the world from. Up to
 /// \p most_direct of them all hear it from the watchers. Beyond, a few of each
@@ -53,7 +53,7 @@
     /// Place in the watch order; empty: it is in no replica set.
     std::optional<std::size_t> m_position;
     /// Candidates before it that say that they watch and hear the store.
-    std::size_t m_fresh = 0;
+    std::size_t m_fresh_watchers = 0;
     /// For how long there have been too few of them.
     milliseconds m_too_few_for{0};
 
@@ -61,34 +61,35 @@
 };
 
 /// Fewer watchers than this are too few.
-constexpr std::size_t least_watchers = 2;
+constexpr std::size_t min_watchers = 2;
 
 [[nodiscard]] bool should_watch(const watch_facts& facts);
 
 /// What an edge VM knows when it decides how many sources to hear.
-struct listener_facts
+struct subscriber_facts
 {
     /// The fleet is so large that a list of its runners takes long to read.
     bool m_large_fleet = false;
     /// Some source has told all that it knows.
-    bool m_told = false;
+    bool m_received_full_state = false;
     milliseconds m_since_start{0};
 
-    friend bool operator==(const listener_facts&,
-                           const listener_facts&) = default;
+    friend bool operator==(const subscriber_facts&,
+                           const subscriber_facts&) = default;
 };
 
 /// In a large fleet the first source is heard alone for a moment: the others
 /// then need only tell what came later, and the first list comes sooner on a
 /// small share of a core and of a link.
-[[nodiscard]] std::size_t sources_wanted(const listener_facts& facts);
+[[nodiscard]] std::size_t target_source_count(const subscriber_facts& facts);
 
 /// How long an edge VM that starts waits for word of the platform's store
 /// before it asks the store itself. Where there are thousands of runners, all
 /// edge VMs that start at once would otherwise read each of them, on small
 /// shares of a core, and hear nothing else meanwhile.
 /// \param hears_storage some storage VM is heard
-[[nodiscard]] milliseconds store_patience(bool large_fleet, bool hears_storage);
+[[nodiscard]] milliseconds store_read_delay(bool large_fleet,
+                                            bool hears_storage);
 
 /// The storage VMs that \p self should hear the world from: those of its own
 /// zone first, each VM in an order of its own.
--- a/include/pepperturn/cluster/owner_views.hpp
+++ b/include/pepperturn/cluster/owner_views.hpp
@@ -31,12 +31,13 @@
 /// that were replaced shortly before may still grant.
 /// \param settled they had been \ref is_settled
 [[nodiscard]] owner_knowledge
-kept_knowledge(const std::vector<cluster_view>& views, bool settled,
-               instant now, milliseconds takeover);
+restore_knowledge(const std::vector<cluster_view>& views, bool settled,
+                  instant now, milliseconds takeover);
 
 /// Takes the views of now, and those that were missed as far as they tell.
 /// \returns false if some remain unknown: the VM owns nothing for \p takeover
-bool take_views(owner_knowledge& owners, const std::vector<cluster_view>& views,
-                instant now, milliseconds takeover);
+bool apply_views(owner_knowledge& owners,
+                 const std::vector<cluster_view>& views, instant now,
+                 milliseconds takeover);
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/relay_limits.hpp
+++ b/include/pepperturn/cluster/relay_limits.hpp
@@ -12,9 +12,9 @@
 
 /// Largest question that is passed on, in bytes: a turn's input and output
 /// several times over.
-constexpr std::size_t most_relayed_ask_bytes = 1U << 20U;
+constexpr std::size_t max_relayed_request_bytes = 1U << 20U;
 /// Largest answer, in bytes: a chain of 100 turns of 31 KB with room to spare.
-constexpr std::size_t most_relayed_answer_bytes = 4U << 20U;
+constexpr std::size_t max_relayed_reply_bytes = 4U << 20U;
 /// Bytes of a frame around what it passes on.
 constexpr std::size_t relay_frame_overhead = 4096;
 
@@ -29,15 +29,15 @@
 {
     /// Questions a second. A VM asks about a hundred at its usual pace, and
     /// several VMs may have drawn the same neighbour.
-    double m_asks_per_s = 500;
+    double m_requests_per_s = 500;
     /// Questions at once: members of all replica sets by a burst of callers.
-    double m_ask_burst = 250;
+    double m_request_burst = 250;
     /// Bytes a second, questions and answers: well below a slow link.
     double m_bytes_per_s = 2.0 * (1U << 20U);
     /// Bytes at once: one answer of the largest kind.
-    double m_byte_burst = most_relayed_answer_bytes;
+    double m_byte_burst = max_relayed_reply_bytes;
     /// Questions under way: what a storage VM that stalls can hold up here.
-    std::size_t m_under_way = 256;
+    std::size_t m_max_in_flight = 256;
 
     friend bool operator==(const relay_limits&, const relay_limits&) = default;
 };
@@ -47,18 +47,19 @@
 /// is paid off before the next question.
 struct relay_budget
 {
-    double m_asks = 0;
+    double m_requests = 0;
     double m_bytes = 0;
     /// The epoch of the clock: not used yet.
-    instant m_filled{};
+    instant m_last_refill{};
 
     friend bool operator==(const relay_budget&, const relay_budget&) = default;
 };
 
 /// Takes one question of \p bytes; false: there is no room for it now.
-[[nodiscard]] bool take_ask(relay_budget& budget, const relay_limits& limits,
-                            std::size_t bytes, instant now);
+[[nodiscard]] bool admit_relayed_request(relay_budget& budget,
+                                         const relay_limits& limits,
+                                         std::size_t bytes, instant now);
 /// Counts the answer to a question that was taken.
-void note_answer(relay_budget& budget, std::size_t bytes);
+void charge_reply(relay_budget& budget, std::size_t bytes);
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/relay_server.hpp
+++ b/include/pepperturn/cluster/relay_server.hpp
@@ -23,7 +23,7 @@
 struct relay_counts
 {
     /// Questions that were passed on.
-    std::uint64_t m_asks = 0;
+    std::uint64_t m_requests = 0;
     /// Questions for which there was no room or no way.
     std::uint64_t m_refused = 0;
     /// Of questions and answers.
@@ -40,14 +40,14 @@
     struct hooks
     {
         /// The member is heard on this VM's own link.
-        std::function<bool(const std::string& member)> m_reaches;
+        std::function<bool(const std::string& member)> m_is_reachable;
         /// Asks on that link only; empty: no answer came.
         std::function<task<std::optional<frame>>(
             std::string member, std::uint64_t epoch, frame_body body,
             instant until)>
-            m_ask;
+            m_request;
         /// All that is known here, for those who hear no storage VM.
-        std::function<cluster_state()> m_world;
+        std::function<cluster_state()> m_state;
     };
 
     relay_server(asio::io_context& io, const clock& time, hooks what,
@@ -55,7 +55,7 @@
 
     [[nodiscard]] bool listen(const tcp::endpoint& at, std::string& reason);
     /// Tells those who hear no storage VM what has changed.
-    void tell_news(const cluster_state& news);
+    void send_updates(const cluster_state& news);
     /// Closes all connections, so that askers turn to others at once.
     void stop();
     [[nodiscard]] const relay_counts& counts() const
@@ -66,18 +66,18 @@
 private:
     task<> accept_links();
     void add_link(tcp::socket socket);
-    void take_frame(const std::shared_ptr<frame_link>& link, frame value);
-    void take_hello(const std::shared_ptr<frame_link>& link,
-                    const hello_message& hello);
+    void handle_frame(const std::shared_ptr<frame_link>& link, frame value);
+    void handle_hello(const std::shared_ptr<frame_link>& link,
+                      const hello_message& hello);
     /// The question in \p value; empty: it may not be passed on.
     [[nodiscard]] std::optional<frame>
-    read_question(const relayed_message& value, std::string& reason) const;
+    read_request(const relayed_message& value, std::string& reason) const;
     void close(const std::shared_ptr<frame_link>& link,
                const std::string& reason);
-    void note_violation(const std::string& reason);
-    task<> pass_on(std::shared_ptr<frame_link> link, std::uint64_t call,
-                   std::string member, frame question);
-    void refuse(frame_link& link, std::uint64_t call,
+    void record_violation(const std::string& reason);
+    task<> relay_request(std::shared_ptr<frame_link> link, std::uint64_t call,
+                         std::string member, frame question);
+    void reject(frame_link& link, std::uint64_t call,
                 const std::string& member);
 
     asio::io_context& m_io;
@@ -88,10 +88,10 @@
     tcp::acceptor m_acceptor;
     std::set<std::shared_ptr<frame_link>> m_links;
     /// Those that want news.
-    std::set<std::shared_ptr<frame_link>> m_listeners;
-    std::size_t m_under_way = 0;
+    std::set<std::shared_ptr<frame_link>> m_subscribers;
+    std::size_t m_in_flight = 0;
     relay_counts m_counts;
-    instant m_next_line{};
+    instant m_next_log{};
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/replica_sets.hpp
+++ b/include/pepperturn/cluster/replica_sets.hpp
@@ -29,12 +29,12 @@
 /// First views of a fleet. Nothing has been acknowledged yet, so that every
 /// member is full at once. Members of a set lie in as many availability zones
 /// as there are.
-[[nodiscard]] std::vector<cluster_view> found_sets(std::vector<member> vms,
-                                                   std::uint32_t disk_losses);
+[[nodiscard]] std::vector<cluster_view>
+initial_views(std::vector<member> vms, std::uint32_t disk_losses);
 
 /// The set that \p vm is a member of; null: none.
 [[nodiscard]] const cluster_view*
-find_home(const std::vector<cluster_view>& views, const std::string& vm);
+find_replica_set(const std::vector<cluster_view>& views, const std::string& vm);
 
 /// Members of all sets.
 [[nodiscard]] std::vector<member>
--- a/include/pepperturn/cluster/state.hpp
+++ b/include/pepperturn/cluster/state.hpp
@@ -22,7 +22,7 @@
     std::string m_text;
     /// When it was written, or at the latest when it went.
     std::uint64_t m_revision = 0;
-    bool m_gone = false;
+    bool m_removed = false;
 
     friend bool operator==(const runner_entry&, const runner_entry&) = default;
 };
@@ -58,7 +58,7 @@
     /// this revision, gone ones among them.
     std::uint64_t m_runners_since = 0;
     /// Of runners that went up to this revision, some are forgotten.
-    std::uint64_t m_gone_known_since = 0;
+    std::uint64_t m_tombstones_since = 0;
     /// By name.
     std::vector<runner_entry> m_runners;
     /// Of some or all replica sets, in their order.
@@ -109,16 +109,16 @@
 
 /// Only what \p change names, for a VM that knew the state before. A large
 /// configuration is left out, since several VMs tell of it.
-[[nodiscard]] cluster_state parts_of(const cluster_state& state,
-                                     const state_change& change);
+[[nodiscard]] cluster_state changed_parts(const cluster_state& state,
+                                          const state_change& change);
 
 /// What a VM is told that may know nothing yet.
-[[nodiscard]] cluster_state whole_of(const cluster_state& state);
+[[nodiscard]] cluster_state full_state(const cluster_state& state);
 
 /// What a VM is told that knows all runners up to \p known: of these only what
 /// came later, if all of that is known here.
-[[nodiscard]] cluster_state news_since(const cluster_state& state,
-                                       std::uint64_t known);
+[[nodiscard]] cluster_state updates_since(const cluster_state& state,
+                                          std::uint64_t known);
 
 /// The operator wants \p vm emptied.
 [[nodiscard]] bool is_retired(const cluster_state& state,
--- a/include/pepperturn/cluster/view.hpp
+++ b/include/pepperturn/cluster/view.hpp
@@ -50,7 +50,7 @@
 
 /// Changes of a view that are told with it: more than come within the time that
 /// a VM is out of reach and still of use.
-constexpr std::size_t most_view_steps = 8;
+constexpr std::size_t max_view_steps = 8;
 
 /// One change of a view. Whoever has missed some learns from these what stood
 /// in between.
@@ -80,8 +80,8 @@
 };
 
 /// \p next with the step that leads to it from \p before.
-[[nodiscard]] cluster_view succeed(const cluster_view& before,
-                                   cluster_view next);
+[[nodiscard]] cluster_view append_step(const cluster_view& before,
+                                       cluster_view next);
 
 /// Names of the members that take writes, sorted.
 using member_names = std::vector<std::string>;
@@ -148,9 +148,9 @@
                              std::uint32_t disk_losses);
 
 /// True if \p name may be taken for lost: that many losses are borne.
-[[nodiscard]] bool may_abandon(const cluster_view& view,
-                               const std::string& name,
-                               std::uint32_t disk_losses);
+[[nodiscard]] bool may_mark_lost(const cluster_view& view,
+                                 const std::string& name,
+                                 std::uint32_t disk_losses);
 
 /// The member that gathers what all others hold, so that lost ones can be
 /// dropped; null: another loss would be borne beside them, or too few are left
--- a/include/pepperturn/core/tables.hpp
+++ b/include/pepperturn/core/tables.hpp
@@ -222,7 +222,7 @@
     runner_info m_info;
     bool m_listed_leaving = false;
     bool m_reachable = true;
-    instant m_avoid_until{};
+    instant m_backoff_until{};
     load_reported m_load;
     instant m_load_at{};
     std::deque<sent_attempt> m_attempts;
--- a/include/pepperturn/fleet/edge_node.hpp
+++ b/include/pepperturn/fleet/edge_node.hpp
@@ -62,11 +62,11 @@
     edge_reach m_reach;
     config_fetcher m_config_fetcher;
     turn_client m_turns;
-    freshness_keeper m_freshness_keeper;
+    freshness_poller m_freshness_keeper;
     staleness_limits m_staleness_limits;
     quota_client m_quota;
-    cold_client m_cold;
-    place_client m_places;
+    cold_runner_client m_cold;
+    placement_client m_places;
     proxy m_proxy;
     status_server m_status;
     status_server m_metrics;
--- a/include/pepperturn/fleet/edge_reach.hpp
+++ b/include/pepperturn/fleet/edge_reach.hpp
@@ -26,7 +26,7 @@
     /// Tells neighbours that hear no storage VM what has changed.
     void tell_news(const cluster_state& news)
     {
-        m_server.tell_news(news);
+        m_server.send_updates(news);
     }
 
     /// Before the links connect, as their greeting says where this VM relays.
@@ -52,7 +52,7 @@
     member_links& m_links;
     std::string m_relay_address;
     std::string m_availability_zone;
-    detours m_detours;
+    relay_client m_detours;
     relay_server m_server;
     std::vector<std::string> m_members;
     /// Takes turns at whom to ask.
--- a/include/pepperturn/fleet/storage_node.hpp
+++ b/include/pepperturn/fleet/storage_node.hpp
@@ -84,7 +84,7 @@
     /// \returns false: the question is about turns
     [[nodiscard]] bool answer(std::uint64_t asker, const frame_body& question,
                               const turn_server::reply& reply);
-    [[nodiscard]] quota_answer count_request(const quota_question& question);
+    [[nodiscard]] quota_reply count_request(const quota_request& question);
     /// What this VM has counted, by workspace.
     [[nodiscard]] std::string workspace_text() const;
     task<> copy_all();
@@ -104,7 +104,7 @@
     member_links m_links;
     config_fetcher m_config_fetcher;
     state_decoders m_decoders;
-    freshness_keeper m_freshness_keeper;
+    freshness_poller m_freshness_keeper;
     staleness_limits m_staleness_limits;
     limiter m_limiter;
     /// Names of the configuration's workspaces, by their hashes.
--- a/include/pepperturn/fleet/storage_places.hpp
+++ b/include/pepperturn/fleet/storage_places.hpp
@@ -25,9 +25,9 @@
     void evacuate(const std::vector<std::string>& zones);
 
     /// \param asker number of its connection
-    void ask(std::uint64_t asker, const place_question& question,
+    void ask(std::uint64_t asker, const placement_request& question,
              const turn_server::reply& reply);
-    void report(const place_report& report);
+    void report(const placement_report& report);
     /// The connection has ended: places asked for on it come back, since
     /// whoever was killed tells no ends, and engines would seem full of runs
     /// that are over.
@@ -44,11 +44,11 @@
         instant m_until{};
     };
 
-    void collect(const place_question& question,
+    void collect(const placement_request& question,
                  const turn_server::reply& reply);
     void answer_decided();
     /// Notes whose call it is.
-    void note_asker(std::uint64_t asker, const place_question& question);
+    void note_asker(std::uint64_t asker, const placement_request& question);
     void forget_call(std::uint64_t call);
     /// Follows a service's engines if this VM is asked for places there; the
     /// work goes with its runners.
@@ -58,7 +58,7 @@
 
     const clock& m_time;
     zone_map m_zones;
-    engine_places m_places;
+    engine_placements m_places;
     /// Of services that are engines, by name.
     std::map<std::string, service> m_engines;
     /// A runner, and until when it is cold.
@@ -81,7 +81,7 @@
     /// The asker of each of these.
     std::unordered_map<std::uint64_t, std::uint64_t> m_askers;
     /// Decided before they were asked for.
-    std::unordered_map<std::uint64_t, place_answer> m_decided;
+    std::unordered_map<std::uint64_t, placement_reply> m_decided;
     std::array<std::uint64_t, 4> m_answers{};
 };
 
--- a/include/pepperturn/forward/cold_client.hpp
+++ b/include/pepperturn/forward/cold_client.hpp
@@ -11,21 +11,21 @@
 
 namespace pepperturn {
 
-class cold_client
+class cold_runner_client
 {
 public:
-    cold_client(const clock& time, quota_client& owners, double excess,
-                double slack);
+    cold_runner_client(const clock& time, quota_client& owners, double excess,
+                       double slack);
 
     /// Leave to send one call, at once.
     /// \param per_s that such a runner bears, by the configuration; 0: any
     /// number
     /// \param incarnation hash of the runner's
-    [[nodiscard]] task<bool> take(std::uint64_t incarnation, double per_s);
+    [[nodiscard]] task<bool> acquire(std::uint64_t incarnation, double per_s);
 
 private:
     const clock& m_time;
-    quota_client& m_owners;
+    quota_client& m_quota;
     double m_excess;
     double m_slack;
 };
--- a/include/pepperturn/forward/engine_gate.hpp
+++ b/include/pepperturn/forward/engine_gate.hpp
@@ -13,32 +13,32 @@
 namespace pepperturn {
 
 /// How waiting for a place ended.
-struct gate_result
+struct admission_result
 {
     bool m_admitted = false;
     /// What the line ahead was expected to take.
-    milliseconds m_expected{0};
+    milliseconds m_expected_wait{0};
 };
 
-class engine_gate
+class admission_queue
 {
 public:
-    engine_gate(asio::io_context& io, const clock& time);
+    admission_queue(asio::io_context& io, const clock& time);
 
     /// Waits for a place, not at all if \p patience would not do. Who is
     /// admitted calls \ref leave in the end.
-    [[nodiscard]] task<gate_result> enter(call_rank rank,
-                                          milliseconds patience);
-    void leave();
+    [[nodiscard]] task<admission_result> acquire(call_rank rank,
+                                                 milliseconds patience);
+    void release();
     /// \param route calls of one route take about as long
     /// \param wait until the first byte
     /// \param run from there to the end
-    void note_call(const std::string& route, milliseconds wait,
-                   milliseconds run);
+    void record_call(const std::string& route, milliseconds wait,
+                     milliseconds run);
 
     [[nodiscard]] std::size_t waiting() const
     {
-        return m_line.size();
+        return m_queue.size();
     }
     [[nodiscard]] double limit() const
     {
@@ -56,18 +56,18 @@
         bool m_admitted = false;
     };
 
-    [[nodiscard]] bool has_room() const;
+    [[nodiscard]] bool has_capacity() const;
     void admit_waiting();
 
     asio::io_context& m_io;
     const clock& m_time;
-    std::map<std::string, call_pace> m_paces;
-    call_limit m_limit;
-    std::uint32_t m_under_way = 0;
-    std::uint64_t m_number = 0;
-    std::vector<std::shared_ptr<waiter>> m_line;
+    std::map<std::string, call_latency> m_route_stats;
+    concurrency_limit m_limit;
+    std::uint32_t m_in_flight = 0;
+    std::uint64_t m_last_sequence = 0;
+    std::vector<std::shared_ptr<waiter>> m_queue;
     /// Of calls of each rank.
-    std::map<call_rank, drain_rate> m_drains;
+    std::map<call_rank, admission_rate> m_drain_rates;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/forward/event_reader.hpp
+++ b/include/pepperturn/forward/event_reader.hpp
@@ -15,17 +15,17 @@
 {
 public:
     /// \param keep_data collect the data for \ref data
-    explicit event_reader(bool keep_data) : m_keep_data(keep_data) {}
+    explicit event_reader(bool keep_data) : m_collect_data(keep_data) {}
 
-    void take(std::string_view bytes);
+    void consume(std::string_view bytes);
 
     /// Events that were ended by an empty line.
-    [[nodiscard]] std::uint32_t whole_events() const
+    [[nodiscard]] std::uint32_t complete_events() const
     {
         return m_events;
     }
     /// Events of which anything was passed on.
-    [[nodiscard]] std::uint32_t begun_events() const
+    [[nodiscard]] std::uint32_t started_events() const
     {
         return m_events + (m_in_event || !m_line.empty() ? 1 : 0);
     }
@@ -43,7 +43,7 @@
 private:
     void end_line();
 
-    bool m_keep_data;
+    bool m_collect_data;
     bool m_in_event = false;
     bool m_has_data = false;
     std::string m_line;
--- a/include/pepperturn/forward/exchange.hpp
+++ b/include/pepperturn/forward/exchange.hpp
@@ -26,16 +26,16 @@
 [[nodiscard]] const char* to_string(abort_cause cause);
 
 /// Lets others give a request up while an attempt is under way.
-class abort_switch
+class abort_signal
 {
 public:
-    void pull(abort_cause cause);
+    void abort(abort_cause cause);
     [[nodiscard]] abort_cause cause() const
     {
         return m_cause;
     }
     /// What to do at once when the switch is pulled; empty: nothing.
-    void on_pull(std::function<void()> action);
+    void on_abort(std::function<void()> action);
 
 private:
     abort_cause m_cause = abort_cause::none;
@@ -57,7 +57,7 @@
 
 [[nodiscard]] const char* to_string(attempt_outcome outcome);
 
-struct upstream_answer
+struct upstream_response
 {
     unsigned m_status = 0;
     http::fields m_fields;
@@ -67,15 +67,15 @@
 struct attempt_result
 {
     attempt_outcome m_outcome = attempt_outcome::unknown;
-    upstream_answer m_answer;
+    upstream_response m_response;
     /// From sending to the first byte of the answer; empty: none came.
     std::optional<milliseconds> m_first_byte;
     /// From its begin to its end, a connect among it.
-    milliseconds m_took{0};
+    milliseconds m_duration{0};
     /// No first byte came in the time that was left for it.
-    bool m_late = false;
+    bool m_first_byte_timed_out = false;
     /// Not sent: this VM has no room for what would come back.
-    bool m_no_memory = false;
+    bool m_out_of_memory = false;
     /// Parts of a stream were passed on.
     bool m_streamed = false;
     /// For a runner that said it is full: when it thinks to have room.
@@ -86,7 +86,7 @@
 /// Takes a stream while it comes. Each returns false if the caller is gone.
 struct stream_sink
 {
-    std::function<task<bool>(const upstream_answer& head)> m_begin;
+    std::function<task<bool>(const upstream_response& head)> m_begin;
     std::function<task<bool>(std::string_view bytes)> m_data;
 };
 
@@ -102,27 +102,27 @@
     bool m_streaming = false;
     instant m_deadline{};
     /// When another runner is tried instead, if no whole answer has come.
-    std::optional<instant> m_give_up_at;
+    std::optional<instant> m_attempt_deadline;
     std::optional<std::uint32_t> m_urgency;
     /// The last event that the caller has, for a run that goes on from it.
     std::optional<std::uint64_t> m_last_event;
     /// The run is given up after this long without a first byte, then without
     /// a further one; empty: only as above, or at the deadline.
-    std::optional<milliseconds> m_first_patience;
-    std::optional<milliseconds> m_gap_patience;
+    std::optional<milliseconds> m_first_byte_timeout;
+    std::optional<milliseconds> m_gap_timeout;
     /// Whose it is; see \ref attempt_head.
-    bool m_withholds_key = false;
+    bool m_strip_credentials = false;
     std::string m_workspace = {};
     /// Asked at the last moment before anything is sent; empty: yes.
     std::function<bool()> m_may_send = {};
     /// Keeps \ref m_body, which a runner may still be taking when the attempt
     /// is over.
-    std::shared_ptr<const void> m_owner = {};
+    std::shared_ptr<const void> m_body_owner = {};
     /// Where the bytes held for it count; null: nowhere.
-    std::shared_ptr<held_account> m_held = {};
+    std::shared_ptr<buffer_account> m_buffered = {};
     /// Asked before more of an answer is gathered: this VM can hold so many
     /// bytes more. Empty: yes.
-    std::function<task<bool>(std::uint64_t)> m_room = {};
+    std::function<task<bool>(std::uint64_t)> m_wait_for_memory = {};
 };
 
 /// Runs one attempt at \p runner.
@@ -130,6 +130,6 @@
 run_attempt(asio::io_context& io, const clock& time, upstream_pool& pool,
             runner_table& runners, const wire_names& names, runner_info runner,
             attempt_request request, stream_sink sink,
-            std::shared_ptr<abort_switch> aborter);
+            std::shared_ptr<abort_signal> aborter);
 
 } // namespace pepperturn
--- a/include/pepperturn/forward/home_regions.hpp
+++ b/include/pepperturn/forward/home_regions.hpp
@@ -10,6 +10,6 @@
 /// Those that both its route and its workspace allow; empty: any.
 /// \param owner null: of no workspace
 [[nodiscard]] std::optional<std::set<std::string>>
-home_regions(const route& route, const workspace* owner);
+allowed_regions(const route& route, const workspace* owner);
 
 } // namespace pepperturn
--- a/include/pepperturn/forward/request_head.hpp
+++ b/include/pepperturn/forward/request_head.hpp
@@ -35,19 +35,19 @@
     std::optional<milliseconds> m_deadline;
     std::string m_program;
     /// Until the whole program should be over; empty: not told.
-    std::optional<milliseconds> m_program_left;
+    std::optional<milliseconds> m_program_remaining;
     std::optional<std::uint64_t> m_token_budget;
     std::uint32_t m_prompt_tokens = 0;
-    std::uint32_t m_most_tokens = 0;
+    std::uint32_t m_max_tokens = 0;
     /// Tokens that its caller expects to be generated; 0: not told.
     std::uint32_t m_expected_tokens = 0;
     std::string m_parent_turn;
     /// In order; empty if they are unknown or do not read as parts.
     std::vector<prompt_part> m_prompt_parts;
     /// The last event that the caller has of a stream it takes up again.
-    std::optional<std::uint64_t> m_last_event;
+    std::optional<std::uint64_t> m_last_event_id;
     /// What is wrong with a field that was sent; empty: nothing.
-    std::string_view m_fault;
+    std::string_view m_error;
 
     friend bool operator==(const request_fields&,
                            const request_fields&) = default;
@@ -64,14 +64,14 @@
 struct attempt_head
 {
     std::string m_runner;
-    milliseconds m_left{0};
+    milliseconds m_remaining{0};
     std::size_t m_body_bytes = 0;
     std::optional<std::uint32_t> m_urgency;
     /// Goes before what the caller sent; empty: the caller's, if any.
-    std::optional<std::uint64_t> m_last_event = {};
+    std::optional<std::uint64_t> m_last_event_id = {};
     /// Callers have keys: the key and what the caller says of its workspace
     /// are left out.
-    bool m_withholds_key = false;
+    bool m_strips_credentials = false;
     /// Empty: of no workspace.
     std::string m_workspace = {};
 };
--- a/include/pepperturn/forward/routing_config.hpp
+++ b/include/pepperturn/forward/routing_config.hpp
@@ -90,7 +90,7 @@
     std::uint32_t m_max_connections = 64;
     std::optional<engine_profile> m_engine;
     /// Requests a second that a runner bears while it is cold; 0: any number.
-    double m_cold_per_s = 0;
+    double m_cold_requests_per_s = 0;
 
     friend bool operator==(const service&, const service&) = default;
 };
@@ -137,9 +137,9 @@
     bool m_draining = false;
     /// Unix milliseconds of its start; 0: not told. A runner that starts anew
     /// under its id holds and knows nothing of before.
-    std::uint64_t m_born = 0;
+    std::uint64_t m_started_at_ms = 0;
     /// For how much longer it is cold, from when this was told.
-    milliseconds m_cold_left{0};
+    milliseconds m_cold_remaining{0};
 
     friend bool operator==(const runner_info&, const runner_info&) = default;
 };
--- a/include/pepperturn/forward/runner_table.hpp
+++ b/include/pepperturn/forward/runner_table.hpp
@@ -20,38 +20,38 @@
     /// This life of it.
     std::string m_incarnation;
     /// Hash of that, as other VMs name it.
-    std::uint64_t m_hash = 0;
+    std::uint64_t m_incarnation_hash = 0;
     /// Requests of this VM that are there now.
     std::uint32_t m_in_flight = 0;
     /// Smoothed time to the first byte of an answer, as a multiple of what is
     /// usual on the route; 1 before there is any.
     double m_slowness = 1;
     /// Not used before this while another runner is there.
-    instant m_avoid_until{};
+    instant m_backoff_until{};
     /// Failures in a row.
-    std::uint32_t m_failures = 0;
+    std::uint32_t m_consecutive_failures = 0;
     /// Smoothed share of requests that went wrong, and when it was current;
     /// it fades, so that a runner gets another chance.
-    double m_trouble = 0;
-    instant m_trouble_at{};
+    double m_error_rate = 0;
+    instant m_error_rate_time{};
     /// It bears few requests until then.
     instant m_cold_until{};
 };
 
-struct runner_choice
+struct runner_query
 {
     std::string m_service;
     /// Incarnation in which the prefix is cached; empty: nowhere.
-    std::string m_preferred;
+    std::string m_preferred_incarnation;
     std::string m_availability_zone;
     /// Runners that have refused this request already.
     std::set<std::string> m_excluded;
     /// Draws among equals.
-    std::uint64_t m_draw = 0;
+    std::uint64_t m_random_tiebreak = 0;
     /// Whether a kept connection to a runner is idle; empty: never.
     std::function<bool(const std::string&)> m_connected = {};
     /// Hash of the beginning that its prompt shares with others; 0: none.
-    std::uint64_t m_shared_part = 0;
+    std::uint64_t m_shared_prefix = 0;
     /// Cold runners are left alone.
     bool m_warm_only = false;
     /// Only runners of these regions; empty: of any.
@@ -60,10 +60,10 @@
 
 /// Of a service with many runners a VM weighs these for one call: several
 /// times what one VM has under way, so that it finds an idle one among them.
-constexpr std::size_t most_candidates = 64;
+constexpr std::size_t max_candidates = 64;
 /// Runners of each zone on which prompts with one shared part meet: enough to
 /// bear the loss of some, few enough that the part is seldom read anew.
-constexpr std::size_t runners_for_part = 4;
+constexpr std::size_t runners_per_prefix = 4;
 
 class runner_table
 {
@@ -94,39 +94,41 @@
     /// each VM its own, so that all together use all.
     /// \param weighed if given, how many runners were looked at is added
     [[nodiscard]] const runner_row*
-    choose(const runner_choice& choice, instant now,
+    choose(const runner_query& choice, instant now,
            std::size_t* weighed = nullptr) const;
     /// It may be sent requests.
-    [[nodiscard]] bool usable(const runner_row& row) const;
+    [[nodiscard]] bool is_usable(const runner_row& row) const;
     /// Of those, by \p choice.
-    [[nodiscard]] bool may_use(const runner_row& row,
-                               const runner_choice& choice) const;
+    [[nodiscard]] bool is_eligible(const runner_row& row,
+                                   const runner_query& choice) const;
 
     [[nodiscard]] const runner_row* find(const std::string& id) const;
     /// Null: that life of a runner is over.
     [[nodiscard]] const runner_row*
     find_incarnation(const std::string& incarnation) const;
     /// \param hash of an incarnation; null: none of the list has it
-    [[nodiscard]] const runner_row* find_hashed(std::uint64_t hash) const;
+    [[nodiscard]] const runner_row*
+    find_incarnation_hash(std::uint64_t hash) const;
     [[nodiscard]] std::size_t size() const
     {
         return m_rows.size();
     }
 
-    void note_sent(const std::string& id);
-    void note_ended(const std::string& id);
+    void record_request_start(const std::string& id);
+    void record_request_end(const std::string& id);
     /// \param route requests of one route take about the same time
-    void note_first_byte(const std::string& id, const std::string& route,
-                         milliseconds latency);
+    void record_first_byte(const std::string& id, const std::string& route,
+                           milliseconds latency);
     /// What is usual on a route; zero: nothing is known yet.
-    [[nodiscard]] milliseconds usual_first_byte(const std::string& route) const;
+    [[nodiscard]] milliseconds
+    average_first_byte(const std::string& route) const;
     /// A connection was refused, cut or silent.
-    void note_failure(const std::string& id, instant now);
+    void record_failure(const std::string& id, instant now);
     /// How a request ended there: well, or with an error of the runner's own
     /// or with silence.
-    void note_result(const std::string& id, bool good, instant now);
+    void record_result(const std::string& id, bool good, instant now);
     /// The runner said that it is full.
-    void note_full(const std::string& id, instant now);
+    void record_full(const std::string& id, instant now);
 
 private:
     /// Runners in the order of their hashes: each point is followed by another
@@ -138,25 +140,25 @@
         std::map<std::string, ring> m_zones;
     };
 
-    [[nodiscard]] runner_row* locate(const std::string& id);
+    [[nodiscard]] runner_row* find_row(const std::string& id);
     void add(const runner_info& info, runner_row& row, instant now);
     void remove(const runner_row& row);
     /// Those that \p choice may go to, most of them of its own zone.
     using row_list = std::vector<const runner_row*>;
     /// Those that \p choice may go to, most of them of its own zone.
-    [[nodiscard]] row_list gather(const service_rows& rows,
-                                  const runner_choice& choice) const;
+    [[nodiscard]] row_list select_candidates(const service_rows& rows,
+                                             const runner_query& choice) const;
     /// Where prompts with the call's shared part meet.
-    [[nodiscard]] row_list homes_of_part(const service_rows& rows,
-                                         const runner_choice& choice) const;
+    [[nodiscard]] row_list runners_for_prefix(const service_rows& rows,
+                                              const runner_query& choice) const;
     /// \param homes some of them, preferred a little
     [[nodiscard]] const runner_row* choose_among(const row_list& rows,
                                                  const row_list& homes,
-                                                 const runner_choice& choice,
+                                                 const runner_query& choice,
                                                  instant now) const;
-    [[nodiscard]] placement_candidate candidate_of(const runner_row& row,
-                                                   const runner_choice& choice,
-                                                   instant now) const;
+    [[nodiscard]] runner_candidate make_candidate(const runner_row& row,
+                                                  const runner_query& choice,
+                                                  instant now) const;
 
     std::uint64_t m_seed;
     zone_map m_zones;
@@ -165,7 +167,7 @@
     std::unordered_map<std::uint64_t, const runner_row*> m_by_hash;
     std::set<std::string> m_evacuated;
     /// Smoothed time to the first byte on each route, in milliseconds.
-    std::map<std::string, double> m_usual_ms;
+    std::map<std::string, double> m_average_first_byte_ms;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/forward/stream_relay.hpp
+++ b/include/pepperturn/forward/stream_relay.hpp
@@ -21,21 +21,21 @@
                  std::optional<std::uint64_t> last_event);
 
     /// The head has gone to the caller.
-    void note_begun()
+    void mark_started()
     {
-        m_begun = true;
+        m_started = true;
     }
-    [[nodiscard]] bool begun() const
+    [[nodiscard]] bool started() const
     {
-        return m_begun;
+        return m_started;
     }
 
     /// What is to be passed on now that \p bytes have come.
-    [[nodiscard]] std::string take(std::string_view bytes);
+    [[nodiscard]] std::string consume(std::string_view bytes);
     /// The rest, once the run has ended whole.
-    [[nodiscard]] std::string take_rest();
+    [[nodiscard]] std::string flush();
     /// The run was cut: what came of an unfinished event is dropped.
-    void drop_rest();
+    void discard_partial_event();
 
     /// Where the next run goes on; empty: from the start.
     [[nodiscard]] std::optional<std::uint64_t> last_event() const;
@@ -46,9 +46,9 @@
 
 private:
     bool m_resumable;
-    bool m_begun = false;
+    bool m_started = false;
     std::optional<std::uint64_t> m_last_event;
-    std::string m_held;
+    std::string m_pending;
     event_reader m_events;
 };
 
--- a/include/pepperturn/forward/traffic_metrics.hpp
+++ b/include/pepperturn/forward/traffic_metrics.hpp
@@ -15,14 +15,14 @@
 public:
     void count(const std::string& name, std::uint64_t by = 1);
     /// Time from a request's arrival to its answer's end.
-    void note_answer(milliseconds took);
+    void record_response(milliseconds took);
     /// Time from a turn's arrival until it was sent to a runner.
-    void note_turn_begin(milliseconds took);
+    void record_turn_begin(milliseconds took);
 
     /// What became of the requests of one workspace.
     [[nodiscard]] workspace_counts& of_workspace(const std::string& name)
     {
-        return m_workspaces.of(name);
+        return m_workspaces.counts_of(name);
     }
 
     /// One `name value` a line.
@@ -31,8 +31,8 @@
 private:
     std::map<std::string, std::uint64_t> m_counters;
     workspace_totals m_workspaces;
-    latency_histogram m_answers;
-    latency_histogram m_turn_begins;
+    latency_histogram m_response_times;
+    latency_histogram m_turn_begin_times;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/forward/upstream_pool.hpp
+++ b/include/pepperturn/forward/upstream_pool.hpp
@@ -34,8 +34,8 @@
     /// What the kernel may keep for a connection, in bytes: a usual prompt or
     /// answer at once. Bytes that a runner has sent and nobody has read yet
     /// count as this VM's memory.
-    static constexpr int send_bytes = 32 << 10;
-    static constexpr int receive_bytes = 16 << 10;
+    static constexpr int send_buffer_bytes = 32 << 10;
+    static constexpr int receive_buffer_bytes = 16 << 10;
 
     upstream_pool(asio::io_context& io, const clock& time);
 
--- a/include/pepperturn/scheduling/admission.hpp
+++ b/include/pepperturn/scheduling/admission.hpp
@@ -25,36 +25,39 @@
 namespace pepperturn {
 
 /// How long calls of one route take, lately and at best.
-struct call_pace
+struct call_latency
 {
     /// Smoothed wait for the first byte; 0: none yet.
-    double m_wait_ms = 0;
+    double m_first_byte_ms = 0;
     /// What the wait comes down to while engines have room.
-    double m_floor_ms = 0;
+    double m_baseline_ms = 0;
     /// Smoothed time from the first byte to the end.
     double m_run_ms = 0;
 
-    friend bool operator==(const call_pace&, const call_pace&) = default;
+    friend bool operator==(const call_latency&, const call_latency&) = default;
 };
 
 /// Takes one call in.
-[[nodiscard]] call_pace add_call(call_pace pace, double wait_ms, double run_ms);
+[[nodiscard]] call_latency add_call(call_latency pace, double wait_ms,
+                                    double run_ms);
 
 /// The wait that a full batch explains without a queue.
-[[nodiscard]] double longest_good_wait_ms(const call_pace& pace);
+[[nodiscard]] double max_unqueued_wait_ms(const call_latency& pace);
 
 /// One VM's limit on its calls under way at engines.
-struct call_limit
+struct concurrency_limit
 {
     double m_limit = std::numeric_limits<double>::infinity();
 
-    friend bool operator==(const call_limit&, const call_limit&) = default;
+    friend bool operator==(const concurrency_limit&,
+                           const concurrency_limit&) = default;
 };
 
 /// The limit after a call has ended.
 /// \param under_way calls of this VM at engines
-[[nodiscard]] call_limit adjust_limit(call_limit limit, const call_pace& pace,
-                                      std::uint32_t under_way);
+[[nodiscard]] concurrency_limit adjust_limit(concurrency_limit limit,
+                                             const call_latency& pace,
+                                             std::uint32_t under_way);
 
 /// Who goes first among calls that wait for a place.
 enum class call_rank : std::uint8_t
@@ -75,14 +78,14 @@
 {
     call_rank m_rank = call_rank::first;
     /// Order of arrival.
-    std::uint64_t m_number = 0;
+    std::uint64_t m_sequence = 0;
 
     friend bool operator==(const waiting_call&, const waiting_call&) = default;
 };
 
 /// True if \p left goes before \p right: by rank, then in order of arrival.
-[[nodiscard]] bool goes_before(const waiting_call& left,
-                               const waiting_call& right);
+[[nodiscard]] bool precedes(const waiting_call& left,
+                            const waiting_call& right);
 
 /// How long a call may wait for a place. A first call waits for as long as its
 /// program can still be in time: how much that needs is unknown, but
@@ -92,31 +95,32 @@
 /// \param program_left until the program should be over; empty: not told
 /// \param call_left until the caller gives this call up
 [[nodiscard]] milliseconds
-wait_patience(call_rank rank, std::optional<milliseconds> program_left,
+queue_timeout(call_rank rank, std::optional<milliseconds> program_left,
               milliseconds call_left);
 
 /// How fast a line gets shorter.
-struct drain_rate
+struct admission_rate
 {
     /// Smoothed time from one that is let in to the next; 0: unknown.
     double m_interval_ms = 0;
     instant m_last{};
 
-    friend bool operator==(const drain_rate&, const drain_rate&) = default;
+    friend bool operator==(const admission_rate&,
+                           const admission_rate&) = default;
 };
 
 /// One of the line has been let in.
-[[nodiscard]] drain_rate add_admission(drain_rate rate, instant now);
+[[nodiscard]] admission_rate add_admission(admission_rate rate, instant now);
 
 /// How long a call waits with \p ahead others before it. While nobody is let
 /// in the expectation grows.
-[[nodiscard]] milliseconds expected_wait(const drain_rate& rate,
+[[nodiscard]] milliseconds expected_wait(const admission_rate& rate,
                                          std::size_t ahead, instant now);
 
 /// When a call that found no room may come back: once the line of now has
 /// been worked off, in turns rather than all at once.
 /// \param draw spreads the callers
-[[nodiscard]] milliseconds come_back_after(milliseconds expected,
-                                           std::uint64_t draw);
+[[nodiscard]] milliseconds retry_delay(milliseconds expected,
+                                       std::uint64_t draw);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/engine_pace.hpp
+++ b/include/pepperturn/scheduling/engine_pace.hpp
@@ -33,47 +33,48 @@
                                          double quantile);
 
 /// What an engine takes for one token, lastingly and lately.
-struct token_pace
+struct token_latency
 {
     /// Logarithm of the milliseconds for a token.
-    double m_lasting = 0;
+    double m_long_term = 0;
     /// Logarithm of how much slower it was lately than that.
-    double m_lately = 0;
+    double m_recent = 0;
     std::uint32_t m_samples = 0;
     /// Ended calls in a row that were clearly slower than the lasting pace.
-    std::uint32_t m_slow_in_row = 0;
+    std::uint32_t m_consecutive_slow = 0;
     instant m_last{};
 
-    friend bool operator==(const token_pace&, const token_pace&) = default;
+    friend bool operator==(const token_latency&,
+                           const token_latency&) = default;
 };
 
 /// Takes in what a token took in one ended call; absurd values are ignored.
-[[nodiscard]] token_pace add_token_time(token_pace pace, double token_ms,
-                                        instant now);
+[[nodiscard]] token_latency add_token_time(token_latency pace, double token_ms,
+                                           instant now);
 
 /// Milliseconds for a token now.
 /// \param usual_ms of the service: what an engine takes of which nothing is
 /// known, or nothing new for long
-[[nodiscard]] double present_token_ms(const token_pace& pace, double usual_ms,
-                                      instant now);
+[[nodiscard]] double current_token_ms(const token_latency& pace,
+                                      double usual_ms, instant now);
 
 /// How often an engine's calls went wrong lately.
-struct engine_trouble
+struct engine_error_rate
 {
     /// Share, 0 to 1.
-    double m_share = 0;
+    double m_rate = 0;
     instant m_last{};
 
-    friend bool operator==(const engine_trouble&,
-                           const engine_trouble&) = default;
+    friend bool operator==(const engine_error_rate&,
+                           const engine_error_rate&) = default;
 };
 
-[[nodiscard]] engine_trouble add_end(engine_trouble trouble, bool failed,
-                                     instant now);
+[[nodiscard]] engine_error_rate add_outcome(engine_error_rate trouble,
+                                            bool failed, instant now);
 
 /// Share of the calls that is expected to go wrong; fades while the engine is
 /// not used, so that it is tried again.
-[[nodiscard]] double present_trouble(const engine_trouble& trouble,
-                                     instant now);
+[[nodiscard]] double current_error_rate(const engine_error_rate& trouble,
+                                        instant now);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/engine_places.hpp
+++ b/include/pepperturn/scheduling/engine_places.hpp
@@ -27,7 +27,7 @@
 namespace pepperturn {
 
 /// An engine as the configuration and the list of runners tell it.
-struct engine_facts
+struct engine_info
 {
     /// Hash of the runner's incarnation.
     std::uint64_t m_runner = 0;
@@ -44,11 +44,11 @@
     instant m_cold_until{};
     double m_cold_per_s = 0;
 
-    friend bool operator==(const engine_facts&, const engine_facts&) = default;
+    friend bool operator==(const engine_info&, const engine_info&) = default;
 };
 
 /// Asks for a place for one call.
-struct place_question
+struct placement_request
 {
     /// Hash of the service's name.
     std::uint64_t m_service = 0;
@@ -62,32 +62,32 @@
     /// Tokens of the whole prompt.
     std::uint32_t m_prompt_tokens = 0;
     /// The most tokens that it generates.
-    std::uint32_t m_most_tokens = 0;
+    std::uint32_t m_max_output_tokens = 0;
     /// What its caller expects of these, right in the median; 0: not told.
-    std::uint32_t m_expected_tokens = 0;
+    std::uint32_t m_expected_output_tokens = 0;
     call_rank m_rank = call_rank::first;
     /// Priority of its route or workspace; 0 is the most urgent.
     std::uint32_t m_priority = 0;
     /// Longest wait in line for a place, in milliseconds.
-    std::uint32_t m_patience_ms = 0;
+    std::uint32_t m_queue_timeout_ms = 0;
     /// Until its program should be over, in milliseconds; 0: not told.
-    std::uint32_t m_program_left_ms = 0;
+    std::uint32_t m_program_time_left_ms = 0;
     /// Of the VM that asks.
     std::string m_availability_zone;
     /// Hashes of runners that have refused it.
     std::vector<std::uint64_t> m_excluded;
     /// It waits in line already; answered once that is decided.
-    bool m_collects = false;
+    bool m_already_queued = false;
     /// Of that VM, as the answering one knows it; empty: not told.
     std::string m_region = {};
     /// Regions whose engines it may go to; empty: any.
     std::vector<std::string> m_regions = {};
 
-    friend bool operator==(const place_question&,
-                           const place_question&) = default;
+    friend bool operator==(const placement_request&,
+                           const placement_request&) = default;
 };
 
-enum class place_outcome : std::uint8_t
+enum class placement_outcome : std::uint8_t
 {
     placed,
     /// All engines are full; it waits in line.
@@ -99,11 +99,11 @@
     not_placing
 };
 
-[[nodiscard]] const char* to_string(place_outcome outcome);
+[[nodiscard]] const char* to_string(placement_outcome outcome);
 
-struct place_answer
+struct placement_reply
 {
-    place_outcome m_outcome = place_outcome::not_placing;
+    placement_outcome m_outcome = placement_outcome::not_placing;
     /// Hash of the runner's incarnation.
     std::uint64_t m_runner = 0;
     /// Tokens of the prompt that are thought to be in its memory.
@@ -113,13 +113,14 @@
     /// Expected time to the last token, in milliseconds.
     std::uint32_t m_expected_ms = 0;
     /// No room: when there is some again, in milliseconds.
-    std::uint32_t m_retry_ms = 0;
+    std::uint32_t m_retry_after_ms = 0;
 
-    friend bool operator==(const place_answer&, const place_answer&) = default;
+    friend bool operator==(const placement_reply&,
+                           const placement_reply&) = default;
 };
 
 /// How a call that had a place ended.
-enum class place_end : std::uint8_t
+enum class placement_end : std::uint8_t
 {
     /// With its whole answer.
     whole,
@@ -129,61 +130,62 @@
     not_run
 };
 
-[[nodiscard]] const char* to_string(place_end end);
+[[nodiscard]] const char* to_string(placement_end end);
 
 /// Tells the end of a call that had a place. Its times count from when the
 /// runner was sent the call.
-struct place_report
+struct placement_report
 {
     std::uint64_t m_service = 0;
     std::uint64_t m_call = 0;
     /// The runner that was used in the end, should it be another one.
     std::uint64_t m_runner = 0;
-    place_end m_end = place_end::not_run;
+    placement_end m_end = placement_end::not_run;
     /// To the first byte, in milliseconds.
     std::uint32_t m_first_byte_ms = 0;
     /// From the first byte to the end, in milliseconds.
     std::uint32_t m_run_ms = 0;
     /// Tokens that were generated.
-    std::uint32_t m_tokens = 0;
+    std::uint32_t m_output_tokens = 0;
 
-    friend bool operator==(const place_report&, const place_report&) = default;
+    friend bool operator==(const placement_report&,
+                           const placement_report&) = default;
 };
 
 /// The answer to a question that had to wait in line.
-struct decided_place
+struct placement_decision
 {
     std::uint64_t m_call = 0;
-    place_answer m_answer;
+    placement_reply m_reply;
 
-    friend bool operator==(const decided_place&,
-                           const decided_place&) = default;
+    friend bool operator==(const placement_decision&,
+                           const placement_decision&) = default;
 };
 
 /// Places at the engines of all services that one VM hands them out for.
-class engine_places
+class engine_placements
 {
 public:
-    engine_places();
-    ~engine_places();
-    engine_places(const engine_places&) = delete;
-    engine_places& operator=(const engine_places&) = delete;
+    engine_placements();
+    ~engine_placements();
+    engine_placements(const engine_placements&) = delete;
+    engine_placements& operator=(const engine_placements&) = delete;
 
     /// Takes the engines of a service as they are now; what was learnt of
     /// those that stay is kept.
     /// \param service hash of its name
-    void follow(std::uint64_t service, const std::vector<engine_facts>& engines,
-                instant now);
+    void set_engines(std::uint64_t service,
+                     const std::vector<engine_info>& engines, instant now);
     /// Drops every service that is not in \p services.
-    void retain(const std::vector<std::uint64_t>& services);
+    void retain_services(const std::vector<std::uint64_t>& services);
 
     /// Empty: the call waits in line; its answer comes from \ref take_decided.
-    [[nodiscard]] std::optional<place_answer>
-    ask(const place_question& question, instant now);
-    void report(const place_report& report, instant now);
+    [[nodiscard]] std::optional<placement_reply>
+    request_placement(const placement_request& question, instant now);
+    void report(const placement_report& report, instant now);
     /// Calls that waited and have a place now, or need not wait any longer.
     /// Places whose end was never told come back, too.
-    [[nodiscard]] std::vector<decided_place> take_decided(instant now);
+    [[nodiscard]] std::vector<placement_decision> take_decisions(instant now);
 
     /// Figures for operators, one line each.
     void write_metrics(std::string& out) const;
--- a/include/pepperturn/scheduling/place_service.hpp
+++ b/include/pepperturn/scheduling/place_service.hpp
@@ -20,7 +20,7 @@
 namespace pepperturn {
 
 /// What has happened so far.
-struct place_counters
+struct placement_counters
 {
     std::uint64_t m_placed = 0;
     /// Of the prompts placed, and what of them was thought to be in memory.
@@ -39,26 +39,26 @@
     std::uint64_t m_broken = 0;
     std::uint64_t m_not_run = 0;
 
-    friend bool operator==(const place_counters&,
-                           const place_counters&) = default;
+    friend bool operator==(const placement_counters&,
+                           const placement_counters&) = default;
 };
 
-[[nodiscard]] place_counters operator+(const place_counters& left,
-                                       const place_counters& right);
+[[nodiscard]] placement_counters operator+(const placement_counters& left,
+                                           const placement_counters& right);
 
-class place_service
+class placement_service
 {
 public:
-    void follow(const std::vector<engine_facts>& engines);
-    [[nodiscard]] std::optional<place_answer>
-    ask(const place_question& question, instant now);
-    void report(const place_report& report, instant now);
+    void set_engines(const std::vector<engine_info>& engines);
+    [[nodiscard]] std::optional<placement_reply>
+    request_placement(const placement_request& question, instant now);
+    void report(const placement_report& report, instant now);
     /// Appends the calls that were decided since.
-    void take_decided(instant now, std::vector<decided_place>& out);
+    void take_decisions(instant now, std::vector<placement_decision>& out);
     /// Answers all that wait: this VM hands out no places here any more.
-    void close(std::vector<decided_place>& out);
+    void close(std::vector<placement_decision>& out);
 
-    [[nodiscard]] const place_counters& counters() const
+    [[nodiscard]] const placement_counters& counters() const
     {
         return m_counters;
     }
@@ -66,71 +66,73 @@
     {
         return m_engines;
     }
-    [[nodiscard]] std::size_t waiting() const
+    [[nodiscard]] std::size_t queued() const
     {
-        return m_line.m_size;
+        return m_queue.m_size;
     }
     [[nodiscard]] std::size_t full_engines() const;
     [[nodiscard]] std::size_t under_way() const
     {
-        return m_places.size();
+        return m_placements.size();
     }
 
 private:
     /// Where a call may go.
-    enum class reach : std::uint8_t
+    enum class slot_policy : std::uint8_t
     {
         /// Only to engines with room.
-        open,
+        free_slots,
         /// Also into the engines' own queues.
-        queue
+        engine_queues
     };
 
     [[nodiscard]] bool has_engines() const;
-    [[nodiscard]] std::optional<place_answer>
-    place(const place_question& question, reach reach, instant now);
+    [[nodiscard]] std::optional<placement_reply>
+    place(const placement_request& question, slot_policy reach, instant now);
     /// Fills the choices with the engines that the call may go to.
-    void weigh_engines(const place_question& question, reach reach,
-                       instant now);
+    void evaluate_engines(const placement_request& question, slot_policy reach,
+                          instant now);
     /// Among the choices.
-    [[nodiscard]] bool has_room() const;
+    [[nodiscard]] bool has_free_slot() const;
     [[nodiscard]] std::optional<std::size_t>
-    choose_engine(const place_question& question) const;
-    [[nodiscard]] std::optional<place_answer>
-    join_line(const place_question& question, instant now);
-    [[nodiscard]] double wait_ms(const line_entry& entry, instant now) const;
-    [[nodiscard]] double work_ms(const place_question& question) const;
-    void advance_line(instant now);
-    void end_patience(instant now);
+    choose_engine(const placement_request& question) const;
+    [[nodiscard]] std::optional<placement_reply>
+    queue_request(const placement_request& question, instant now);
+    [[nodiscard]] double expected_wait_ms(const queued_call& entry,
+                                          instant now) const;
+    [[nodiscard]] double
+    expected_work_ms(const placement_request& question) const;
+    void advance_queue(instant now);
+    void expire_queued(instant now);
     /// False: the call doesn't wait.
-    bool leave_line(std::uint64_t call);
-    void give_up(std::uint64_t call);
-    void decide(std::uint64_t call, const place_answer& answer);
+    bool leave_queue(std::uint64_t call);
+    void abandon(std::uint64_t call);
+    void decide(std::uint64_t call, const placement_reply& answer);
     [[nodiscard]] engine_record* find(std::uint64_t runner);
-    void end_elsewhere(running_call call, const place_report& report,
-                       engine_record& planned, instant now);
+    void end_on_other_engine(running_call call, const placement_report& report,
+                             engine_record& planned, instant now);
 
     /// An engine in the decision under way.
-    struct choice
+    struct candidate
     {
         std::size_t m_engine = 0;
-        engine_outlook m_outlook;
+        engine_estimate m_estimate;
         double m_cost = 0;
-        bool m_shunned = false;
+        bool m_deprioritised = false;
         bool m_excluded = false;
     };
 
     std::vector<engine_record> m_engines;
     /// Where each runner's row is.
     std::unordered_map<std::uint64_t, std::size_t> m_index;
-    service_norm m_norm;
+    service_profile m_profile;
     /// Runner of each call under way.
-    std::unordered_map<std::uint64_t, std::uint64_t> m_places;
-    place_line m_line;
-    std::unordered_map<std::uint64_t, place_question> m_waiting;
-    std::vector<decided_place> m_decided;
-    std::vector<choice> m_choices;
-    place_counters m_counters;
+    std::unordered_map<std::uint64_t, std::uint64_t> m_placements;
+    placement_queue m_queue;
+    std::unordered_map<std::uint64_t, placement_request> m_queued_requests;
+    std::vector<placement_decision> m_decisions;
+    std::vector<candidate> m_candidates;
+    placement_counters m_counters;
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/placement.hpp
+++ b/include/pepperturn/scheduling/placement.hpp
@@ -16,7 +16,7 @@
 namespace pepperturn {
 
 /// One runner that a call may go to, as the deciding VM sees it.
-struct placement_candidate
+struct runner_candidate
 {
     /// Calls under way there, in shares of its slots.
     double m_load = 0;
@@ -26,27 +26,27 @@
     /// A kept connection is idle.
     bool m_connected = false;
     /// The beginning of the prompt is in its memory.
-    bool m_has_prompt = false;
+    bool m_has_cached_prompt = false;
     /// Time to the first byte as a multiple of what is usual.
     double m_slowness = 1;
     /// Share of the calls that went wrong lately.
-    double m_trouble = 0;
+    double m_error_rate = 0;
     /// Prompts that begin alike meet here: it has read that part, most likely.
-    bool m_shares_part = false;
+    bool m_has_shared_part = false;
     /// It has just started, or its memory is empty: it bears few calls.
     bool m_cold = false;
     /// It refused or failed just now: used only if all others did too.
-    bool m_avoided = false;
+    bool m_deprioritised = false;
     /// Decides among equals.
-    std::uint64_t m_draw = 0;
+    std::uint64_t m_random_tiebreak = 0;
 };
 
 /// What speaks against a candidate, in shares of its slots; lower is better.
-[[nodiscard]] double placement_cost(const placement_candidate& row);
+[[nodiscard]] double runner_cost(const runner_candidate& row);
 
 /// Index of the candidate that costs least, by draw among equals; empty:
 /// there is none.
 [[nodiscard]] std::optional<std::size_t>
-choose_placement(const std::vector<placement_candidate>& candidates);
+select_runner(const std::vector<runner_candidate>& candidates);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/prompt_home.hpp
+++ b/include/pepperturn/scheduling/prompt_home.hpp
@@ -27,7 +27,7 @@
 };
 
 /// The prompt of an attempt and the runner that has read it.
-struct prompt_place
+struct prompt_location
 {
     /// Hash of the last part's id; 0: unknown.
     std::uint64_t m_part = 0;
@@ -36,14 +36,15 @@
     /// Hash of the runner's id; 0: none has read it.
     std::uint64_t m_runner = 0;
 
-    friend bool operator==(const prompt_place&, const prompt_place&) = default;
+    friend bool operator==(const prompt_location&,
+                           const prompt_location&) = default;
 };
 
 /// The place with the longest beginning of a prompt; empty: none is known.
 /// \param parts the prompt in order; the last part is the conversation's own
 /// \param places what earlier attempts of the program left behind
-[[nodiscard]] std::optional<prompt_place>
-find_prompt_home(const std::vector<prompt_part>& parts,
-                 const std::vector<prompt_place>& places);
+[[nodiscard]] std::optional<prompt_location>
+find_cached_prompt(const std::vector<prompt_part>& parts,
+                   const std::vector<prompt_location>& places);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/read_pressure.hpp
+++ b/include/pepperturn/scheduling/read_pressure.hpp
@@ -27,7 +27,7 @@
 
 /// Bytes that a VM may hold for its callers and runners.
 /// \param memory_mb of the VM, for this process; 0: not told
-[[nodiscard]] std::uint64_t held_bound(std::uint32_t memory_mb);
+[[nodiscard]] std::uint64_t buffer_limit(std::uint32_t memory_mb);
 
 /// How near the bytes held are to the bound.
 enum class pressure_level : std::uint8_t
@@ -49,7 +49,7 @@
                                         std::uint64_t bound);
 
 /// What room is asked for.
-enum class room_use : std::uint8_t
+enum class memory_use : std::uint8_t
 {
     /// Requests and answers that are still to come.
     work,
@@ -58,16 +58,17 @@
 };
 
 /// The most that may be held and reserved when room is given, in bytes.
-[[nodiscard]] std::uint64_t room_limit(room_use use, std::uint64_t bound);
+[[nodiscard]] std::uint64_t reservation_limit(memory_use use,
+                                              std::uint64_t bound);
 
 /// A long answer may be gathered on. What it leaves free is for requests with
 /// usual answers, which are taken beside any crowd that does not read.
 /// \param committed bytes that are held or reserved by all
 /// \param more bytes of its next piece
 /// \param first it is the oldest of those that were held up
-[[nodiscard]] bool may_gather_on(pressure_level level, std::uint64_t committed,
-                                 std::uint64_t bound, std::uint64_t more,
-                                 bool first);
+[[nodiscard]] bool may_buffer_more(pressure_level level,
+                                   std::uint64_t committed, std::uint64_t bound,
+                                   std::uint64_t more, bool first);
 
 /// A body may be read.
 /// \param body bytes that are still to come, as far as they are known
@@ -75,31 +76,31 @@
                                  std::uint64_t bound, std::uint64_t body);
 
 /// An answer that waits for its caller.
-struct unread_answer
+struct unread_response
 {
     /// Held for this caller, in bytes.
-    std::uint64_t m_held = 0;
+    std::uint64_t m_buffered = 0;
     /// Taken since the wait began, in bytes.
-    std::uint64_t m_taken = 0;
+    std::uint64_t m_consumed = 0;
     /// Since the caller first left something unread.
     milliseconds m_waited{0};
     /// Since it last took anything.
     milliseconds m_idle{0};
 
-    friend bool operator==(const unread_answer&,
-                           const unread_answer&) = default;
+    friend bool operator==(const unread_response&,
+                           const unread_response&) = default;
 };
 
 /// Bytes a second that a caller takes; none once it has stopped.
-[[nodiscard]] double reading_pace(const unread_answer& answer);
+[[nodiscard]] double read_rate(const unread_response& answer);
 
 /// Slower than any usual caller, for long enough to tell.
-[[nodiscard]] bool is_slow_reader(const unread_answer& answer);
+[[nodiscard]] bool is_slow_reader(const unread_response& answer);
 
 /// Indices of the answers to cut, the slowest first; as few as make the VM
 /// calm again.
 [[nodiscard]] std::vector<std::size_t>
-choose_cuts(const std::vector<unread_answer>& answers, std::uint64_t held,
-            std::uint64_t bound);
+choose_aborts(const std::vector<unread_response>& answers, std::uint64_t held,
+              std::uint64_t bound);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/second_try.hpp
+++ b/include/pepperturn/scheduling/second_try.hpp
@@ -19,43 +19,45 @@
 namespace pepperturn {
 
 /// How long first bytes have taken lately, in classes; older ones fade.
-struct answer_times
+struct response_times
 {
     /// Each class reaches a fifth further than the one before; the last one
     /// begins above a minute.
-    static constexpr std::size_t classes = 64;
+    static constexpr std::size_t buckets = 64;
 
-    std::array<double, classes> m_weights{};
+    std::array<double, buckets> m_weights{};
     double m_sum = 0;
 
-    friend bool operator==(const answer_times&, const answer_times&) = default;
+    friend bool operator==(const response_times&,
+                           const response_times&) = default;
 };
 
-[[nodiscard]] answer_times add_answer(answer_times times, milliseconds took);
+[[nodiscard]] response_times add_response_time(response_times times,
+                                               milliseconds took);
 
 /// The time within which \p share of the answers came, to a fifth; zero:
 /// nothing is known.
-[[nodiscard]] milliseconds answer_quantile(const answer_times& times,
-                                           double share);
+[[nodiscard]] milliseconds response_time_quantile(const response_times& times,
+                                                  double share);
 
 /// The wait for a first byte after which a second runner is tried; empty: too
 /// little is known of the route.
 [[nodiscard]] std::optional<milliseconds>
-second_try_wait(const answer_times& times);
+retry_timeout(const response_times& times);
 
 /// Second tries that calls have earned.
-struct try_budget
+struct retry_budget
 {
-    double m_tries = 0;
+    double m_retries = 0;
 
-    friend bool operator==(const try_budget&, const try_budget&) = default;
+    friend bool operator==(const retry_budget&, const retry_budget&) = default;
 };
 
 /// A call has been sent for the first time.
-[[nodiscard]] try_budget earn_try(try_budget budget);
-[[nodiscard]] bool may_try_again(const try_budget& budget);
-[[nodiscard]] try_budget spend_try(try_budget budget);
+[[nodiscard]] retry_budget earn_retry(retry_budget budget);
+[[nodiscard]] bool retry_allowed(const retry_budget& budget);
+[[nodiscard]] retry_budget spend_retry(retry_budget budget);
 /// A try that was set aside was not needed.
-[[nodiscard]] try_budget return_try(try_budget budget);
+[[nodiscard]] retry_budget refund_retry(retry_budget budget);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/start_hold.hpp
+++ b/include/pepperturn/scheduling/start_hold.hpp
@@ -15,17 +15,18 @@
 
 namespace pepperturn {
 
-struct start_facts
+struct startup_wait_conditions
 {
     /// Since the start of this VM's process, when the request came.
-    milliseconds m_up_for{0};
+    milliseconds m_uptime{0};
     /// How long the caller waits; empty: it did not say.
-    std::optional<milliseconds> m_patience;
+    std::optional<milliseconds> m_caller_timeout;
 
-    friend bool operator==(const start_facts&, const start_facts&) = default;
+    friend bool operator==(const startup_wait_conditions&,
+                           const startup_wait_conditions&) = default;
 };
 
 /// Longest wait from the request's arrival on; zero: it is not held.
-[[nodiscard]] milliseconds start_hold(const start_facts& facts);
+[[nodiscard]] milliseconds startup_wait(const startup_wait_conditions& facts);
 
 } // namespace pepperturn
--- a/include/pepperturn/tenancy/cold_allowance.hpp
+++ b/include/pepperturn/tenancy/cold_allowance.hpp
@@ -15,7 +15,7 @@
 namespace pepperturn {
 
 /// The operator's bound for one second.
-struct cold_bound
+struct cold_runner_bound
 {
     /// Requests a second that a cold runner bears; 0: any number.
     double m_per_s = 0;
@@ -23,20 +23,21 @@
     double m_excess = 1;
     double m_slack = 0;
 
-    friend bool operator==(const cold_bound&, const cold_bound&) = default;
+    friend bool operator==(const cold_runner_bound&,
+                           const cold_runner_bound&) = default;
 };
 
 /// A limit by which no second holds more than \p bound allows, if each grant is
 /// used within \ref longest_cold_use.
-[[nodiscard]] request_limit cold_limit(const cold_bound& bound);
+[[nodiscard]] request_limit cold_runner_limit(const cold_runner_bound& bound);
 
 /// A grant that was not used by then is void: calls that were granted apart
 /// would arrive together.
-constexpr milliseconds longest_cold_use{150};
+constexpr milliseconds max_cold_grant_age{150};
 
 /// Asks for leave to send one call to a cold runner.
 /// \param incarnation of the runner
-[[nodiscard]] quota_question cold_question(std::uint64_t incarnation,
-                                           const cold_bound& bound);
+[[nodiscard]] quota_request cold_runner_request(std::uint64_t incarnation,
+                                                const cold_runner_bound& bound);
 
 } // namespace pepperturn
--- a/include/pepperturn/tenancy/freshness.hpp
+++ b/include/pepperturn/tenancy/freshness.hpp
@@ -33,9 +33,9 @@
 {
     /// The configuration known here was the newest at this time; the epoch of
     /// the clock: never heard.
-    instant m_config_at{};
+    instant m_config_confirmed_at{};
     /// The views of all replica sets known here were the newest at this time.
-    instant m_views_at{};
+    instant m_views_confirmed_at{};
 
     friend bool operator==(const freshness_bound&,
                            const freshness_bound&) = default;
@@ -44,8 +44,8 @@
 [[nodiscard]] inline freshness_bound newest(const freshness_bound& left,
                                             const freshness_bound& right)
 {
-    return {std::max(left.m_config_at, right.m_config_at),
-            std::max(left.m_views_at, right.m_views_at)};
+    return {std::max(left.m_config_confirmed_at, right.m_config_confirmed_at),
+            std::max(left.m_views_confirmed_at, right.m_views_confirmed_at)};
 }
 
 /// What one VM tells another of its freshness.
@@ -79,9 +79,9 @@
 struct staleness_limits
 {
     /// A key that was taken away may be used for this long everywhere.
-    milliseconds m_revoke{5000};
+    milliseconds m_max_revoke_delay{5000};
     /// A new key is to be good after this long at VMs that hear the store.
-    milliseconds m_apply{3000};
+    milliseconds m_max_apply_delay{3000};
 
     friend bool operator==(const staleness_limits&,
                            const staleness_limits&) = default;
@@ -89,16 +89,16 @@
 
 /// A keyed request may still be sent, and a limiter may grant: a tenth of the
 /// bound is left for the way to the runner.
-[[nodiscard]] milliseconds longest_use(const staleness_limits& limits);
+[[nodiscard]] milliseconds max_use_age(const staleness_limits& limits);
 
 /// For how much longer what was known at \p at may be acted upon; empty: it may
 /// not.
 [[nodiscard]] std::optional<milliseconds>
-use_left(const staleness_limits& limits, instant at, instant now);
+remaining_use_time(const staleness_limits& limits, instant at, instant now);
 
 /// Who is not known may be told so, rather than to come back: the bound for
 /// new keys, less the time in which news come here.
-[[nodiscard]] milliseconds longest_denial(const staleness_limits& limits);
+[[nodiscard]] milliseconds max_denial_age(const staleness_limits& limits);
 
 /// Time since \p at; the largest if it was never heard.
 [[nodiscard]] milliseconds age_of(instant at, instant now);
--- a/include/pepperturn/tenancy/limit_owners.hpp
+++ b/include/pepperturn/tenancy/limit_owners.hpp
@@ -29,14 +29,14 @@
 /// Owners of one workspace's limit, where there are as many members. Three:
 /// limits leave about half as much again as is usual, so that one may be lost;
 /// with more, the shares of small workspaces hold less than one program.
-constexpr std::size_t owners_wanted = 3;
+constexpr std::size_t target_owner_count = 3;
 
 /// The owners of \p workspace among \p members, first one first.
 /// \param workspace hash of its name
 /// \param wanted owners, where there are as many members
 [[nodiscard]] std::vector<std::string>
 owners_of(const std::vector<std::string>& members, std::uint64_t workspace,
-          std::size_t wanted = owners_wanted);
+          std::size_t wanted = target_owner_count);
 
 /// Lists of members that one VM has known.
 struct owner_history
@@ -46,7 +46,7 @@
         /// Sorted.
         std::vector<std::string> m_members;
         /// When the next list came; the last one has none.
-        instant m_until = instant::max();
+        instant m_replaced_at = instant::max();
 
         friend bool operator==(const period&, const period&) = default;
     };
@@ -63,18 +63,18 @@
 
 /// A list was in force that this VM has not heard of: it owns nothing until the
 /// owners by that list are surely over.
-void note_missed_list(owner_history& history, instant now,
-                      milliseconds takeover);
+void record_missed_members(owner_history& history, instant now,
+                           milliseconds takeover);
 
 /// Takes the members of now; forgets lists that have no say any more.
-void note_members(owner_history& history, std::vector<std::string> members,
-                  instant now, milliseconds takeover);
+void record_members(owner_history& history, std::vector<std::string> members,
+                    instant now, milliseconds takeover);
 
 /// The share of the limit that \p self may grant now, from 0 to 1.
 [[nodiscard]] double share_of(const owner_history& history,
                               const std::string& self, std::uint64_t workspace,
                               instant now, milliseconds takeover,
-                              std::size_t wanted = owners_wanted);
+                              std::size_t wanted = target_owner_count);
 
 /// Since when nobody but \p self has granted what it grants now, as far as it
 /// remembers; the epoch of the clock: all the time.
@@ -83,6 +83,6 @@
                                      const std::string& self,
                                      std::uint64_t workspace, double share,
                                      milliseconds takeover,
-                                     std::size_t wanted = owners_wanted);
+                                     std::size_t wanted = target_owner_count);
 
 } // namespace pepperturn
--- a/include/pepperturn/tenancy/limit_window.hpp
+++ b/include/pepperturn/tenancy/limit_window.hpp
@@ -35,7 +35,7 @@
 constexpr std::int64_t slots_in_window = limit_span / slot_length;
 /// Places are taken this far ahead at most: everything that was granted until
 /// now is out of the window by then.
-constexpr std::int64_t slots_ahead = slots_in_window;
+constexpr std::int64_t max_slots_ahead = slots_in_window;
 /// Spans that are bounded besides the whole window: every quarter second.
 constexpr std::int64_t slots_in_step = 5;
 /// Number of the slot that \p at lies in.
@@ -45,19 +45,18 @@
 /// What spans may hold from an instant on.
 struct window_bound
 {
-    std::int64_t m_from = 0;
+    std::int64_t m_from_slot = 0;
     /// In a whole window.
-    double m_most = 0;
+    double m_max = 0;
     /// Of that, at one instant. The rest comes evenly: with less of it, a VM
     /// that restarts would get less back in each second.
-    double m_at_once = 0;
+    double m_max_at_once = 0;
 
     friend bool operator==(const window_bound&, const window_bound&) = default;
 };
 
 /// What a span of \p steps quarter seconds may hold.
-[[nodiscard]] double most_in_span(const window_bound& bound,
-                                  std::int64_t steps);
+[[nodiscard]] double max_in_span(const window_bound& bound, std::int64_t steps);
 
 struct limit_window
 {
@@ -68,9 +67,9 @@
     std::array<float, ring_size> m_counts{};
     /// The newest slot that time has come to; the ring holds those from a
     /// window before it on.
-    std::int64_t m_now = 0;
+    std::int64_t m_current_slot = 0;
     /// The last slot with a place in it.
-    std::int64_t m_tail = 0;
+    std::int64_t m_last_granted_slot = 0;
     /// Bounds of now and of the last window, oldest first. A window that
     /// overlaps several may hold the most that any of them allows, and of
     /// what was granted since a lower one no more than that one.
@@ -83,30 +82,31 @@
 void advance_window(limit_window& window, std::int64_t now);
 
 /// From now on windows may hold \p most, and \p at_once of it at one instant.
-void bound_window(limit_window& window, double most, double at_once);
+void set_window_bound(limit_window& window, double most, double at_once);
 
 /// From now on this window is only \p part of what it was: so are its bounds
 /// and what was granted. Whoever takes the rest counts the rest of these
 /// grants.
-void shrink_window(limit_window& window, double part);
+void scale_window(limit_window& window, double part);
 
 /// The earliest slot from \p from to \p until that has room for one more.
 [[nodiscard]] std::optional<std::int64_t>
-find_room(const limit_window& window, std::int64_t from, std::int64_t until);
+find_free_slot(const limit_window& window, std::int64_t from,
+               std::int64_t until);
 
 /// Counts one grant in \p slot.
-void take_place(limit_window& window, std::int64_t slot);
+void add_grant(limit_window& window, std::int64_t slot);
 /// Takes one grant back; nothing, if its window is over.
-void free_place(limit_window& window, std::int64_t slot);
+void remove_grant(limit_window& window, std::int64_t slot);
 
 /// Counts the most that may have been granted up to \p until by someone who
 /// kept the newest bound.
-void assume_granted(limit_window& window, std::int64_t until);
+void assume_max_granted(limit_window& window, std::int64_t until);
 
 /// Grants in the last \p slots up to now, and places ahead.
-[[nodiscard]] double used_lately(const limit_window& window,
-                                 std::int64_t slots);
+[[nodiscard]] double count_recent_grants(const limit_window& window,
+                                         std::int64_t slots);
 /// Places ahead of now.
-[[nodiscard]] double places_ahead(const limit_window& window);
+[[nodiscard]] double count_future_grants(const limit_window& window);
 
 } // namespace pepperturn
--- a/include/pepperturn/tenancy/workspace_counts.hpp
+++ b/include/pepperturn/tenancy/workspace_counts.hpp
@@ -36,19 +36,19 @@
     /// Any other end without success.
     failed
 };
-constexpr std::size_t workspace_events = 9;
+constexpr std::size_t workspace_event_count = 9;
 
 [[nodiscard]] const char* to_string(workspace_event event);
 
 struct workspace_counts
 {
-    std::array<std::uint64_t, workspace_events> m_counts{};
+    std::array<std::uint64_t, workspace_event_count> m_counts{};
 
-    void note(workspace_event event)
+    void increment(workspace_event event)
     {
         ++m_counts.at(static_cast<std::size_t>(event));
     }
-    [[nodiscard]] std::uint64_t of(workspace_event event) const
+    [[nodiscard]] std::uint64_t count(workspace_event event) const
     {
         return m_counts.at(static_cast<std::size_t>(event));
     }
@@ -66,7 +66,7 @@
 };
 
 /// Workspaces that are written by name: as many as one looks through.
-constexpr std::size_t workspaces_named = 100;
+constexpr std::size_t max_named_workspaces = 100;
 
 /// One line `workspace_NAME_EVENT value` for each count above zero, those that
 /// asked most first; all beyond \ref workspaces_named as `other`. Characters
@@ -77,7 +77,7 @@
 class workspace_totals
 {
 public:
-    [[nodiscard]] workspace_counts& of(const std::string& name);
+    [[nodiscard]] workspace_counts& counts_of(const std::string& name);
     [[nodiscard]] std::string text() const;
 
 private:
--- a/include/pepperturn/tenancy/workspaces.hpp
+++ b/include/pepperturn/tenancy/workspaces.hpp
@@ -75,13 +75,13 @@
     /// Empty if there is a fault.
     std::string m_key;
     /// Why they cannot be anybody's; empty: they may be.
-    std::string_view m_fault;
+    std::string_view m_error;
 
     friend bool operator==(const credentials&, const credentials&) = default;
 };
 
 /// Longest key that is looked at, in bytes; longer than any in use.
-constexpr std::size_t most_key_bytes = 512;
+constexpr std::size_t max_key_bytes = 512;
 
 /// Reads SCHEME KEY.
 /// \param values of each Authorization header of the request
--- a/include/pepperturn/turns/messages.hpp
+++ b/include/pepperturn/turns/messages.hpp
@@ -204,14 +204,13 @@
                            const relayed_message&) = default;
 };
 
-using frame_body =
-    std::variant<hello_message, cluster_state, beat_message, begin_message,
-                 begun_message, append_message, appended_message, fetch_message,
-                 fetched_message, list_message, listed_message, read_message,
-                 entries_message, copied_message, want_config_message,
-                 want_freshness_message, freshness_message, quota_question,
-                 quota_answer, want_neighbours_message, neighbours_message,
-                 relayed_message, place_question, place_answer, place_report>;
+using frame_body = std::variant<
+    hello_message, cluster_state, beat_message, begin_message, begun_message,
+    append_message, appended_message, fetch_message, fetched_message,
+    list_message, listed_message, read_message, entries_message, copied_message,
+    want_config_message, want_freshness_message, freshness_message,
+    quota_request, quota_reply, want_neighbours_message, neighbours_message,
+    relayed_message, placement_request, placement_reply, placement_report>;
 
 struct frame
 {
--- a/include/pepperturn/turns/turn_client.hpp
+++ b/include/pepperturn/turns/turn_client.hpp
@@ -41,7 +41,7 @@
     /// The turns to go on from, oldest first.
     std::vector<turn_record> m_chain;
     /// Where the program's prompts have been read.
-    std::vector<prompt_place> m_places;
+    std::vector<prompt_location> m_places;
     /// What decided, for the log.
     std::string m_reason;
 };
@@ -76,7 +76,7 @@
     /// lost, the program is charged the whole reservation.
     /// \param place where its prompt was read
     void settle(const begin_request& request, std::uint32_t tokens,
-                const prompt_place& place = {});
+                const prompt_location& place = {});
 
 private:
     struct round;
--- a/include/pepperturn/turns/turn_store.hpp
+++ b/include/pepperturn/turns/turn_store.hpp
@@ -71,7 +71,7 @@
     {
         std::uint32_t m_tokens = 0;
         bool m_settled = false;
-        prompt_place m_place;
+        prompt_location m_place;
         log_position m_position;
     };
     struct program_row
--- a/src/cluster/config_fetcher.cpp
+++ b/src/cluster/config_fetcher.cpp
@@ -27,10 +27,10 @@
                                std::function<void(const cluster_state&)> take)
     : m_io(io), m_time(time), m_links(links),
       m_availability_zone(std::move(availability_zone)),
-      m_take(std::move(take)), m_changed(io)
+      m_on_config(std::move(take)), m_changed(io)
 {}
 
-void config_fetcher::follow(const std::vector<member>& members)
+void config_fetcher::set_members(const std::vector<member>& members)
 {
     m_zones.clear();
     for (const auto& row : members)
@@ -58,7 +58,7 @@
         spawn(m_io, "config_fetcher.fetch", fetch());
 }
 
-bool config_fetcher::is_near(const std::string& member) const
+bool config_fetcher::in_own_zone(const std::string& member) const
 {
     const auto found = m_zones.find(member);
     return found != m_zones.end() && found->second == m_availability_zone;
@@ -70,7 +70,7 @@
     std::vector<std::string> far;
     for (const auto& [member, revision] : m_announced)
     {
-        if (is_near(member))
+        if (in_own_zone(member))
             near.push_back(member);
         else if (!near_only)
             far.push_back(member);
@@ -99,9 +99,9 @@
             co_await m_changed.wait_until(far_at);
         else
         {
-            ask(candidates[asked++ % candidates.size()]);
-            co_await wait_for_answer(m_time.now() + patience);
-            if (!m_unanswered)
+            send_request(candidates[asked++ % candidates.size()]);
+            co_await wait_for_reply(m_time.now() + patience);
+            if (!m_request_failed)
                 patience = std::min(2 * patience, longest_patience);
         }
         forget_disconnected();
@@ -109,20 +109,20 @@
     m_fetching = false;
 }
 
-task<> config_fetcher::wait_for_answer(instant until)
+task<> config_fetcher::wait_for_reply(instant until)
 {
     // Others that announce it meanwhile are not asked: a configuration may
     // fill the link for a tenth of a second, and each further copy delays all.
     const auto known = m_known;
-    while (m_known == known && !m_unanswered && m_time.now() < until)
+    while (m_known == known && !m_request_failed && m_time.now() < until)
         co_await m_changed.wait_until(until);
 }
 
-void config_fetcher::ask(const std::string& member)
+void config_fetcher::send_request(const std::string& member)
 {
     LOG(INFO) << "event=config_asked vm=" << member
               << " revision=" << m_announced[member] << " known=" << m_known;
-    m_unanswered = false;
+    m_request_failed = false;
     // Answered whatever the asker's epoch is.
     m_links.call(member, 0, want_config_message{},
                  [this](const std::optional<frame>& answer) {
@@ -130,8 +130,8 @@
                          answer ? std::get_if<cluster_state>(&answer->m_body)
                                 : nullptr;
                      if (told != nullptr)
-                         m_take(*told);
-                     m_unanswered = told == nullptr;
+                         m_on_config(*told);
+                     m_request_failed = told == nullptr;
                      m_changed.notify();
                  });
 }
--- a/src/cluster/detours.cpp
+++ b/src/cluster/detours.cpp
@@ -35,43 +35,43 @@
 
 } // namespace
 
-detours::detours(asio::io_context& io, const clock& time, std::string self_name,
-                 std::string availability_zone)
+relay_client::relay_client(asio::io_context& io, const clock& time,
+                           std::string self_name, std::string availability_zone)
     : m_io(io), m_time(time), m_self_name(std::move(self_name)),
       m_availability_zone(std::move(availability_zone))
 {}
 
-void detours::follow(std::vector<neighbour> neighbours)
+void relay_client::set_peers(std::vector<neighbour> neighbours)
 {
     if (neighbours.empty())
         return;
-    auto before = std::exchange(m_rows, {});
+    auto before = std::exchange(m_peers, {});
     for (auto& who : neighbours)
     {
         const auto found =
             std::find_if(before.begin(), before.end(),
-                         [&](const auto& row) { return row->m_who == who; });
+                         [&](const auto& row) { return row->m_peer == who; });
         if (found == before.end())
         {
-            m_rows.push_back(std::make_shared<neighbour_row>());
-            m_rows.back()->m_who = std::move(who);
+            m_peers.push_back(std::make_shared<peer_state>());
+            m_peers.back()->m_peer = std::move(who);
             continue;
         }
-        m_rows.push_back(*found);
+        m_peers.push_back(*found);
         before.erase(found);
     }
     for (const auto& row : before)
     {
-        row->m_dropped = true;
-        lose(*row);
+        row->m_removed = true;
+        disconnect(*row);
     }
 }
 
-void detours::want_news(bool wanted)
+void relay_client::set_subscribed(bool wanted)
 {
-    if (std::exchange(m_wants_news, wanted) == wanted)
+    if (std::exchange(m_subscribed, wanted) == wanted)
         return;
-    for (const auto& row : m_rows)
+    for (const auto& row : m_peers)
     {
         if (row->m_link)
             row->m_link->send(
@@ -79,84 +79,87 @@
     }
 }
 
-void detours::stop()
+void relay_client::stop()
 {
     m_stopped = true;
-    for (const auto& row : std::exchange(m_rows, {}))
+    for (const auto& row : std::exchange(m_peers, {}))
     {
-        row->m_dropped = true;
-        lose(*row);
+        row->m_removed = true;
+        disconnect(*row);
     }
 }
 
-std::vector<neighbour_facts>
-detours::facts_for(const std::string& member,
-                   const std::set<std::string>& tried) const
+std::vector<relay_peer_facts>
+relay_client::facts_for(const std::string& member,
+                        const std::set<std::string>& tried) const
 {
-    std::vector<neighbour_facts> out;
-    out.reserve(m_rows.size());
-    for (const auto& row : m_rows)
+    std::vector<relay_peer_facts> out;
+    out.reserve(m_peers.size());
+    for (const auto& row : m_peers)
     {
-        const auto cannot = row->m_cannot_until.find(member);
-        out.push_back(
-            {row->m_who.m_name, row->m_who.m_availability_zone,
-             tried.contains(row->m_who.m_name), row->m_open.size(),
-             row->m_avoid_until,
-             cannot == row->m_cannot_until.end() ? instant{} : cannot->second});
+        const auto cannot = row->m_unreachable_until.find(member);
+        out.push_back({row->m_peer.m_name, row->m_peer.m_availability_zone,
+                       tried.contains(row->m_peer.m_name),
+                       row->m_pending.size(), row->m_backoff_until,
+                       cannot == row->m_unreachable_until.end()
+                           ? instant{}
+                           : cannot->second});
     }
     return out;
 }
 
-bool detours::hopeful(const std::string& member) const
+bool relay_client::may_reach(const std::string& member) const
 {
-    return next_neighbour(facts_for(member, {}), member, m_availability_zone,
-                          m_time.now())
+    return next_relay_peer(facts_for(member, {}), member, m_availability_zone,
+                           m_time.now())
         .has_value();
 }
 
-void detours::ask(const std::string& member, const char* reason,
-                  const frame& question, frame_done done, milliseconds patience)
+void relay_client::send_request(const std::string& member, const char* reason,
+                                const frame& question, reply_handler done,
+                                milliseconds patience)
 {
     constexpr std::size_t length_bytes = 4;
     auto bytes = encode_frame(question).substr(length_bytes);
-    if (bytes.size() > most_relayed_ask_bytes)
+    if (bytes.size() > max_relayed_request_bytes)
     {
         done(std::nullopt);
         return;
     }
     m_members[member].m_reason = reason;
-    const auto id = m_next_question++;
-    auto& row = m_questions[id];
+    const auto id = m_next_request++;
+    auto& row = m_requests[id];
     row.m_member = member;
     row.m_frame = {id, 0, frame_status::ok,
                    relayed_message{member, std::move(bytes)}};
     row.m_done = std::move(done);
-    row.m_patience = patience;
+    row.m_reply_timeout = patience;
     // An asker with little time has gone elsewhere by then.
-    row.m_until = m_time.now() +
-                  (patience < usual_silence ? 2 * patience : question_patience);
-    ++m_counts.m_asked;
+    row.m_deadline =
+        m_time.now() +
+        (patience < direct_reply_timeout ? 2 * patience : question_patience);
+    ++m_counts.m_requests;
     try_next(id);
-    start_watch();
+    start_monitor();
 }
 
-void detours::try_next(std::uint64_t id)
+void relay_client::try_next(std::uint64_t id)
 {
-    auto& question = m_questions.at(id);
+    auto& question = m_requests.at(id);
     const auto choice =
-        next_neighbour(facts_for(question.m_member, question.m_tried),
-                       question.m_member, m_availability_zone, m_time.now());
+        next_relay_peer(facts_for(question.m_member, question.m_tried),
+                        question.m_member, m_availability_zone, m_time.now());
     if (!choice)
     {
-        if (!is_open(id))
-            finish(id, std::nullopt);
+        if (!is_pending(id))
+            complete(id, std::nullopt);
         return;
     }
-    const auto row = m_rows[*choice];
-    question.m_tried.insert(row->m_who.m_name);
-    row->m_open.insert(id);
-    question.m_last_try = m_time.now();
-    question.m_last_neighbour = row->m_who.m_name;
+    const auto row = m_peers[*choice];
+    question.m_tried.insert(row->m_peer.m_name);
+    row->m_pending.insert(id);
+    question.m_last_attempt = m_time.now();
+    question.m_last_peer = row->m_peer.m_name;
     if (row->m_link)
     {
         row->m_link->send(question.m_frame);
@@ -167,92 +170,92 @@
         spawn(m_io, "detours.connect", connect(row));
 }
 
-task<> detours::connect(std::shared_ptr<neighbour_row> row)
+task<> relay_client::connect(std::shared_ptr<peer_state> row)
 {
     std::string reason;
-    const auto link = co_await connect_frames(
-        m_io, row->m_who.m_address, connect_patience, reason,
-        most_relayed_answer_bytes + relay_frame_overhead);
+    const auto link = co_await connect_frame_link(
+        m_io, row->m_peer.m_address, connect_patience, reason,
+        max_relayed_reply_bytes + relay_frame_overhead);
     row->m_connecting = false;
-    if (row->m_dropped || m_stopped)
+    if (row->m_removed || m_stopped)
         co_return;
     if (!link)
     {
-        lose(*row);
+        disconnect(*row);
         co_return;
     }
     row->m_link = link;
-    row->m_heard = m_time.now();
+    row->m_last_received = m_time.now();
     // The link holds its handlers, so they must not hold the row.
     link->start(
         [this, weak = std::weak_ptr(row)](const frame& value) {
             if (const auto held = weak.lock())
-                take_frame(held, value);
+                handle_frame(held, value);
         },
         [this, weak = std::weak_ptr(row)](const std::string&) {
             if (const auto held = weak.lock())
-                lose(*held);
+                disconnect(*held);
         });
     link->send(
-        {0, 0, frame_status::ok, hello_message{m_self_name, m_wants_news}});
+        {0, 0, frame_status::ok, hello_message{m_self_name, m_subscribed}});
     for (const auto id : std::exchange(row->m_queued, {}))
     {
-        const auto question = m_questions.find(id);
-        if (question != m_questions.end() && row->m_link)
+        const auto question = m_requests.find(id);
+        if (question != m_requests.end() && row->m_link)
             row->m_link->send(question->second.m_frame);
     }
 }
 
-void detours::lose(neighbour_row& row)
+void relay_client::disconnect(peer_state& row)
 {
     if (const auto link = std::exchange(row.m_link, nullptr))
         link->close("neighbour left");
     row.m_queued.clear();
-    if (!row.m_dropped)
-        avoid(row);
-    for (const auto id : std::exchange(row.m_open, {}))
+    if (!row.m_removed)
+        back_off(row);
+    for (const auto id : std::exchange(row.m_pending, {}))
     {
-        if (m_questions.contains(id) && !is_open(id))
+        if (m_requests.contains(id) && !is_pending(id))
             try_next(id);
     }
 }
 
-bool detours::is_open(std::uint64_t id) const
+bool relay_client::is_pending(std::uint64_t id) const
 {
-    return std::any_of(m_rows.begin(), m_rows.end(), [&](const auto& row) {
-        return row->m_open.contains(id);
+    return std::any_of(m_peers.begin(), m_peers.end(), [&](const auto& row) {
+        return row->m_pending.contains(id);
     });
 }
 
-void detours::avoid(neighbour_row& row)
+void relay_client::back_off(peer_state& row)
 {
     const auto doublings = std::min(row.m_failures++, most_doublings);
-    row.m_avoid_until = m_time.now() + first_avoidance * (1U << doublings);
+    row.m_backoff_until = m_time.now() + first_avoidance * (1U << doublings);
 }
 
-void detours::give_up(neighbour_row& row, std::uint64_t id)
+void relay_client::abandon_attempt(peer_state& row, std::uint64_t id)
 {
     // Others that were asked meanwhile may still answer.
-    if (row.m_open.erase(id) > 0 && !is_open(id))
+    if (row.m_pending.erase(id) > 0 && !is_pending(id))
         try_next(id);
 }
 
-void detours::take_frame(const std::shared_ptr<neighbour_row>& row,
-                         const frame& value)
+void relay_client::handle_frame(const std::shared_ptr<peer_state>& row,
+                                const frame& value)
 {
-    row->m_heard = m_time.now();
+    row->m_last_received = m_time.now();
     row->m_failures = 0;
-    row->m_avoid_until = {};
+    row->m_backoff_until = {};
     if (const auto* news = std::get_if<cluster_state>(&value.m_body))
     {
         if (m_on_state)
             m_on_state(*news);
         return;
     }
-    const auto question = m_questions.find(value.m_call);
+    const auto question = m_requests.find(value.m_call);
     const auto* told = std::get_if<relayed_message>(&value.m_body);
-    if (told == nullptr || question == m_questions.end() ||
-        !row->m_open.contains(value.m_call) ||
+    if (told == nullptr || question == m_requests.end() ||
+        !row->m_pending.contains(value.m_call) ||
         told->m_member != question->second.m_member)
         return;
     std::string reason;
@@ -261,109 +264,110 @@
                       : std::nullopt;
     if (answer)
     {
-        take_answer(*row, value.m_call, std::move(*answer));
+        handle_reply(*row, value.m_call, std::move(*answer));
         return;
     }
-    row->m_cannot_until[told->m_member] = m_time.now() + cannot_for;
-    give_up(*row, value.m_call);
+    row->m_unreachable_until[told->m_member] = m_time.now() + cannot_for;
+    abandon_attempt(*row, value.m_call);
 }
 
-void detours::take_answer(neighbour_row& row, std::uint64_t id, frame answer)
+void relay_client::handle_reply(peer_state& row, std::uint64_t id, frame answer)
 {
-    auto& member = m_members[m_questions.at(id).m_member];
-    member.m_heard = m_time.now();
-    if (!std::exchange(member.m_begun, true))
-        LOG(INFO) << "event=relay_begun member=" << m_questions.at(id).m_member
-                  << " through=" << row.m_who.m_name
+    auto& member = m_members[m_requests.at(id).m_member];
+    member.m_last_seen = m_time.now();
+    if (!std::exchange(member.m_relaying, true))
+        LOG(INFO) << "event=relay_begun member=" << m_requests.at(id).m_member
+                  << " through=" << row.m_peer.m_name
                   << " reason=" << member.m_reason;
-    finish(id, std::move(answer));
+    complete(id, std::move(answer));
 }
 
-void detours::finish(std::uint64_t id, std::optional<frame> answer)
+void relay_client::complete(std::uint64_t id, std::optional<frame> answer)
 {
-    const auto found = m_questions.find(id);
-    if (found == m_questions.end())
+    const auto found = m_requests.find(id);
+    if (found == m_requests.end())
         return;
     const auto done = std::move(found->second.m_done);
-    m_questions.erase(found);
-    for (const auto& row : m_rows)
-        row->m_open.erase(id);
+    m_requests.erase(found);
+    for (const auto& row : m_peers)
+        row->m_pending.erase(id);
     if (!answer)
-        ++m_counts.m_unanswered;
+        ++m_counts.m_failed;
     done(std::move(answer));
 }
 
-void detours::start_watch()
+void relay_client::start_monitor()
 {
-    if (!m_questions.empty() && !std::exchange(m_watching, true))
-        spawn(m_io, "detours.watch", watch_questions());
+    if (!m_requests.empty() && !std::exchange(m_monitoring, true))
+        spawn(m_io, "detours.watch", monitor_requests());
 }
 
-task<> detours::watch_questions()
+task<> relay_client::monitor_requests()
 {
-    while (!m_questions.empty())
+    while (!m_requests.empty())
     {
         const auto before = m_time.now();
         co_await sleep_for(m_io, watch_interval);
         // What came while this process did not run is read first.
-        if (m_time.now() - before >= longest_lag)
+        if (m_time.now() - before >= max_scheduling_lag)
             co_await sleep_for(m_io, watch_interval);
         std::vector<std::uint64_t> ids;
-        ids.reserve(m_questions.size());
-        for (const auto& [id, question] : m_questions)
+        ids.reserve(m_requests.size());
+        for (const auto& [id, question] : m_requests)
             ids.push_back(id);
         for (const auto id : ids)
-            look_at(id);
+            check_request(id);
     }
-    m_watching = false;
+    m_monitoring = false;
 }
 
-void detours::look_at(std::uint64_t id)
+void relay_client::check_request(std::uint64_t id)
 {
-    const auto found = m_questions.find(id);
-    if (found == m_questions.end())
+    const auto found = m_requests.find(id);
+    if (found == m_requests.end())
         return;
     const auto now = m_time.now();
     auto& question = found->second;
-    if (now >= question.m_until)
+    if (now >= question.m_deadline)
     {
-        finish(id, std::nullopt);
+        complete(id, std::nullopt);
         return;
     }
-    const auto row =
-        std::find_if(m_rows.begin(), m_rows.end(), [&](const auto& candidate) {
-            return candidate->m_who.m_name == question.m_last_neighbour;
+    const auto row = std::find_if(
+        m_peers.begin(), m_peers.end(), [&](const auto& candidate) {
+            return candidate->m_peer.m_name == question.m_last_peer;
         });
-    const bool speaks =
-        row != m_rows.end() && (*row)->m_heard > question.m_last_try;
-    const auto patience = std::min(
-        question.m_patience, speaks ? answer_patience : neighbour_patience);
-    if (now - question.m_last_try < patience)
+    const bool speaks = row != m_peers.end() &&
+                        (*row)->m_last_received > question.m_last_attempt;
+    const auto patience =
+        std::min(question.m_reply_timeout,
+                 speaks ? answer_patience : neighbour_patience);
+    if (now - question.m_last_attempt < patience)
         return;
-    if (row != m_rows.end() && !speaks && (*row)->m_avoid_until <= now)
-        avoid(**row);
+    if (row != m_peers.end() && !speaks && (*row)->m_backoff_until <= now)
+        back_off(**row);
     try_next(id);
 }
 
-void detours::probe(const std::string& member, const char* reason)
+void relay_client::probe(const std::string& member, const char* reason)
 {
     auto& row = m_members[member];
     const auto now = m_time.now();
     if (row.m_probing || now < row.m_next_probe ||
-        now - row.m_heard < probe_interval || !hopeful(member))
+        now - row.m_last_seen < probe_interval || !may_reach(member))
         return;
     row.m_probing = true;
-    ask(
+    send_request(
         member, reason, {0, 0, frame_status::ok, want_freshness_message{}},
         [this, member](const std::optional<frame>& answer) {
             const auto found = m_members.find(member);
             if (found != m_members.end())
-                note_probe(found->second, answer.has_value());
+                record_probe(found->second, answer.has_value());
         },
         answer_patience);
 }
 
-void detours::note_probe(member_row& row, bool answered) const
+void relay_client::record_probe(member_status& row, bool answered) const
 {
     row.m_probing = false;
     row.m_probe_interval =
@@ -373,20 +377,20 @@
     row.m_next_probe = m_time.now() + row.m_probe_interval;
 }
 
-void detours::end(const std::string& member)
+void relay_client::end_relaying(const std::string& member)
 {
     const auto found = m_members.find(member);
     if (found == m_members.end())
         return;
-    if (found->second.m_begun)
+    if (found->second.m_relaying)
         LOG(INFO) << "event=relay_ended member=" << member;
     m_members.erase(found);
 }
 
-instant detours::last_heard(const std::string& member) const
+instant relay_client::last_seen(const std::string& member) const
 {
     const auto found = m_members.find(member);
-    return found == m_members.end() ? instant{} : found->second.m_heard;
+    return found == m_members.end() ? instant{} : found->second.m_last_seen;
 }
 
 } // namespace pepperturn
--- a/src/cluster/dialing.cpp
+++ b/src/cluster/dialing.cpp
@@ -26,7 +26,7 @@
 
 dial_times choose_dial_times(const dial_facts& facts)
 {
-    if (facts.m_since_alone < common_start)
+    if (facts.m_since_isolated < common_start)
         return {start_pause, start_patience};
     const auto doublings =
         std::min(std::max(facts.m_failures, 1U) - 1, most_doublings);
--- a/src/cluster/frame_link.cpp
+++ b/src/cluster/frame_link.cpp
@@ -29,9 +29,9 @@
 
 frame_link::frame_link(asio::io_context& io, tcp::socket socket,
                        std::size_t most_bytes)
-    : m_io(io), m_socket(std::move(socket)), m_most_bytes(most_bytes)
+    : m_io(io), m_socket(std::move(socket)), m_max_bytes(most_bytes)
 {
-    tune_socket(m_socket, frame_peer_silence);
+    tune_socket(m_socket, frame_peer_timeout);
 }
 
 void frame_link::start(std::function<void(frame)> on_frame,
@@ -58,10 +58,10 @@
         return;
     // In the order in which they were sent.
     if (!m_queue.empty())
-        m_shared.push_back(
+        m_queued_buffers.push_back(
             std::make_shared<const std::string>(std::exchange(m_queue, {})));
     m_queued_bytes += bytes->size();
-    m_shared.push_back(std::move(bytes));
+    m_queued_buffers.push_back(std::move(bytes));
     start_writing();
 }
 
@@ -91,15 +91,15 @@
         closed(reason);
 }
 
-void frame_link::take_frames(std::string& buffer)
+void frame_link::handle_frames(std::string& buffer)
 {
     std::size_t used = 0;
     while (m_open && buffer.size() - used >= length_bytes)
     {
         const std::size_t length = length_of(buffer, used);
-        if (length > m_most_bytes)
+        if (length > m_max_bytes)
         {
-            m_violated = true;
+            m_protocol_violated = true;
             close("frame of " + std::to_string(length) + " bytes");
             return;
         }
@@ -111,7 +111,7 @@
             reason);
         if (!value)
         {
-            m_violated = true;
+            m_protocol_violated = true;
             close("bad frame: " + reason);
             return;
         }
@@ -138,7 +138,7 @@
             co_return;
         }
         buffer.append(chunk.data(), count);
-        self->take_frames(buffer);
+        self->handle_frames(buffer);
     }
 }
 
@@ -146,11 +146,12 @@
 {
     while (self->m_open && self->m_queued_bytes > 0)
     {
-        if (self->m_shared.empty())
-            self->m_shared.push_back(std::make_shared<const std::string>(
-                std::exchange(self->m_queue, {})));
-        const auto batch = std::move(self->m_shared.front());
-        self->m_shared.pop_front();
+        if (self->m_queued_buffers.empty())
+            self->m_queued_buffers.push_back(
+                std::make_shared<const std::string>(
+                    std::exchange(self->m_queue, {})));
+        const auto batch = std::move(self->m_queued_buffers.front());
+        self->m_queued_buffers.pop_front();
         self->m_queued_bytes -= batch->size();
         error_code ec;
         co_await asio::async_write(self->m_socket, asio::buffer(*batch),
@@ -164,9 +165,11 @@
     self->m_writing = false;
 }
 
-task<std::shared_ptr<frame_link>>
-connect_frames(asio::io_context& io, std::string address, milliseconds patience,
-               std::string& reason, std::size_t most_bytes)
+task<std::shared_ptr<frame_link>> connect_frame_link(asio::io_context& io,
+                                                     std::string address,
+                                                     milliseconds patience,
+                                                     std::string& reason,
+                                                     std::size_t most_bytes)
 {
     error_code ec;
     const auto endpoint = parse_endpoint(address, ec);
--- a/src/cluster/freshness_keeper.cpp
+++ b/src/cluster/freshness_keeper.cpp
@@ -18,53 +18,53 @@
 
 } // namespace
 
-freshness_keeper::freshness_keeper(asio::io_context& io, const clock& time,
+freshness_poller::freshness_poller(asio::io_context& io, const clock& time,
                                    member_links& links, hooks what)
     : m_io(io), m_time(time), m_links(links), m_hooks(std::move(what))
 {}
 
-void freshness_keeper::want(bool wanted)
+void freshness_poller::set_enabled(bool wanted)
 {
-    m_wanted = wanted;
-    if (m_wanted && !std::exchange(m_asking, true))
-        spawn(m_io, "freshness_keeper.ask", keep_asking());
+    m_enabled = wanted;
+    if (m_enabled && !std::exchange(m_polling, true))
+        spawn(m_io, "freshness_keeper.ask", poll());
 }
 
-void freshness_keeper::note(const freshness_bound& own)
+void freshness_poller::record(const freshness_bound& own)
 {
     m_freshness = newest(m_freshness, own);
 }
 
-task<> freshness_keeper::keep_asking()
+task<> freshness_poller::poll()
 {
-    while (m_wanted)
+    while (m_enabled)
     {
-        const bool fresh = co_await ask_once();
+        const bool fresh = co_await poll_once();
         co_await sleep_for(m_io, fresh ? ask_interval : retry_interval);
     }
-    m_asking = false;
+    m_polling = false;
 }
 
-task<bool> freshness_keeper::ask_once()
+task<bool> freshness_poller::poll_once()
 {
     const auto sources = m_hooks.m_sources();
     if (sources.empty())
         co_return false;
     const auto& source = sources[m_next_source % sources.size()];
     const auto asked = m_time.now();
-    const auto answer = co_await m_links.ask(
+    const auto answer = co_await m_links.request(
         source, 0, want_freshness_message{}, asked + ask_patience);
     const auto* told =
         answer ? std::get_if<freshness_message>(&answer->m_body) : nullptr;
     if (told != nullptr)
     {
-        note(derive_freshness(*told, asked, m_hooks.m_known_revision(),
-                              m_hooks.m_hears_views));
+        record(derive_freshness(*told, asked, m_hooks.m_known_revision(),
+                                m_hooks.m_receives_views));
         if (told->m_config_revision > m_hooks.m_known_revision())
-            m_hooks.m_on_newer(source, told->m_config_revision);
+            m_hooks.m_on_newer_config(source, told->m_config_revision);
     }
     const bool fresh =
-        age_of(m_freshness.m_config_at, m_time.now()) <= fresh_limit;
+        age_of(m_freshness.m_config_confirmed_at, m_time.now()) <= fresh_limit;
     if (!fresh)
         ++m_next_source;
     co_return fresh;
--- a/src/cluster/member_demand.cpp
+++ b/src/cluster/member_demand.cpp
@@ -18,61 +18,64 @@
 
 } // namespace
 
-bool member_links::needed(const link_row& row) const
+bool member_links::needed(const member_link& row) const
 {
-    return !on_demand() || (m_sources && wants_news_of(row.m_name)) ||
-           !row.m_waiting.empty() || m_time.now() - row.m_used < kept_after_use;
+    return !on_demand() || (m_sources && subscribed_to(row.m_name)) ||
+           !row.m_queued.empty() ||
+           m_time.now() - row.m_last_used < kept_after_use;
 }
 
-bool member_links::presumed(const link_row& row) const
+bool member_links::connectable(const member_link& row) const
 {
-    return on_demand() && row.m_link == nullptr && !row.m_dropped &&
+    return on_demand() && row.m_link == nullptr && !row.m_removed &&
            (!row.m_failed || m_time.now() - row.m_failed_at >= failure_memory);
 }
 
 bool member_links::reachable(const std::string& name) const
 {
-    const auto found = m_rows.find(name);
-    if (found == m_rows.end())
+    const auto found = m_links.find(name);
+    if (found == m_links.end())
         return false;
-    return presumed(*found->second) ||
-           (connected(name) && m_time.now() - last_heard(name) < heard_within);
+    return connectable(*found->second) ||
+           (connected(name) &&
+            m_time.now() - last_seen(name) < liveness_timeout);
 }
 
-void member_links::send_later(link_row& row, frame value,
-                              std::optional<direct_call> asked)
+void member_links::enqueue(member_link& row, frame value,
+                           std::optional<direct_request> asked)
 {
-    if (row.m_waiting.size() >= most_waiting)
+    if (row.m_queued.size() >= most_waiting)
     {
         if (asked)
             asked->m_done(std::nullopt);
         return;
     }
-    row.m_waiting.emplace_back(std::move(value), std::move(asked));
+    row.m_queued.emplace_back(std::move(value), std::move(asked));
     row.m_wake.notify();
 }
 
-void member_links::send_waiting(link_row& row)
+void member_links::send_queued(member_link& row)
 {
-    for (auto& [value, asked] : std::exchange(row.m_waiting, {}))
+    for (auto& [value, asked] : std::exchange(row.m_queued, {}))
     {
         if (asked)
-            ask_link(row, std::move(value), std::move(*asked));
+            send_on_link(row, std::move(value), std::move(*asked));
         else if (row.m_link)
             row.m_link->send(value);
     }
 }
 
-void member_links::fail_waiting(link_row& row)
+void member_links::fail_queued(member_link& row)
 {
-    for (auto& [value, asked] : std::exchange(row.m_waiting, {}))
+    for (auto& [value, asked] : std::exchange(row.m_queued, {}))
     {
         if (!asked)
             continue;
-        if (asked->m_question && !row.m_dropped && !m_stopped &&
-            m_detours->hopeful(row.m_name))
-            m_detours->ask(row.m_name, reason_of(row), value,
-                           std::move(asked->m_done), asked->m_patience);
+        if (asked->m_frame && !row.m_removed && !m_stopped &&
+            m_relay_client->may_reach(row.m_name))
+            m_relay_client->send_request(row.m_name, reason_of(row), value,
+                                         std::move(asked->m_done),
+                                         asked->m_timeout);
         else
             asked->m_done(std::nullopt);
     }
@@ -80,7 +83,7 @@
 
 void member_links::wake_needed()
 {
-    for (const auto& [name, row] : m_rows)
+    for (const auto& [name, row] : m_links)
     {
         if (!row->m_link && needed(*row))
             row->m_wake.notify();
--- a/src/cluster/member_links.cpp
+++ b/src/cluster/member_links.cpp
@@ -21,7 +21,7 @@
 member_links::member_links(asio::io_context& io, const clock& time,
                            std::string self_name)
     : m_io(io), m_time(time), m_self_name(std::move(self_name)),
-      m_alone_since(time.now())
+      m_isolated_since(time.now())
 {}
 
 void member_links::on_state(
@@ -30,54 +30,54 @@
     m_on_state = std::move(handler);
 }
 
-void member_links::add_row(const std::string& name, const std::string& address)
+void member_links::add_link(const std::string& name, const std::string& address)
 {
-    auto fresh = std::make_shared<link_row>(m_io);
+    auto fresh = std::make_shared<member_link>(m_io);
     fresh->m_name = name;
     fresh->m_address = address;
     // Silence counts from now on.
-    fresh->m_heard = m_time.now();
-    m_rows[name] = fresh;
+    fresh->m_last_received = m_time.now();
+    m_links[name] = fresh;
     spawn(m_io, "member_links.connect", keep_connected(fresh));
 }
 
-void member_links::seek(const std::vector<std::string>& addresses)
+void member_links::connect_seeds(const std::vector<std::string>& addresses)
 {
-    if (m_following)
+    if (m_members_known)
         return;
     for (const auto& address : addresses)
-        add_row(address, address);
+        add_link(address, address);
 }
 
-void member_links::follow(const std::vector<member>& members)
+void member_links::set_members(const std::vector<member>& members)
 {
-    m_following = true;
-    auto before = std::exchange(m_rows, {});
+    m_members_known = true;
+    auto before = std::exchange(m_links, {});
     for (const auto& row : members)
     {
         if (row.m_name == m_self_name)
             continue;
-        if (auto known = take_row(before, row))
-            m_rows[row.m_name] = std::move(known);
+        if (auto known = extract_link(before, row))
+            m_links[row.m_name] = std::move(known);
         else
-            add_row(row.m_name, row.m_address);
+            add_link(row.m_name, row.m_address);
     }
     for (const auto& [name, row] : before)
     {
-        row->m_dropped = true;
+        row->m_removed = true;
         row->m_wake.notify();
-        fail_waiting(*row);
-        if (m_detours != nullptr)
-            m_detours->end(name);
+        fail_queued(*row);
+        if (m_relay_client != nullptr)
+            m_relay_client->end_relaying(name);
         if (const auto link = row->m_link)
             link->close("not followed any more");
     }
-    greet_anew();
+    refresh_hellos();
 }
 
-std::shared_ptr<member_links::link_row>
-member_links::take_row(std::map<std::string, std::shared_ptr<link_row>>& rows,
-                       const member& target)
+std::shared_ptr<member_links::member_link> member_links::extract_link(
+    std::map<std::string, std::shared_ptr<member_link>>& rows,
+    const member& target)
 {
     // A seed is known by its address until the members are: its connection
     // goes on under its name.
@@ -100,54 +100,55 @@
         return;
     m_sources = std::move(sources);
     // Seeds have no names yet; follow() gives them theirs.
-    if (m_following)
-        greet_anew();
+    if (m_members_known)
+        refresh_hellos();
 }
 
-void member_links::greet_anew()
+void member_links::refresh_hellos()
 {
     wake_needed();
-    for (const auto& [name, row] : m_rows)
+    for (const auto& [name, row] : m_links)
     {
-        const bool told = row->m_told_wants == wants_news_of(name) &&
-                          row->m_told_seeks == !m_following;
+        const bool told = row->m_sent_subscribed == subscribed_to(name) &&
+                          row->m_sent_seeks == !m_members_known;
         if (row->m_link && !told)
-            greet(*row);
+            send_hello(*row);
     }
 }
 
-bool member_links::wants_news_of(const std::string& name) const
+bool member_links::subscribed_to(const std::string& name) const
 {
     return !m_sources || std::find(m_sources->begin(), m_sources->end(),
                                    name) != m_sources->end();
 }
 
-void member_links::greet(link_row& row)
+void member_links::send_hello(member_link& row)
 {
-    row.m_told_wants = wants_news_of(row.m_name);
-    row.m_told_seeks = !m_following;
-    row.m_link->send(
-        {0, 0, frame_status::ok,
-         hello_message{m_self_name, row.m_told_wants, m_relay_address,
-                       m_availability_zone,
-                       m_known_runners ? m_known_runners() : 0, !m_following}});
+    row.m_sent_subscribed = subscribed_to(row.m_name);
+    row.m_sent_seeks = !m_members_known;
+    row.m_link->send({0, 0, frame_status::ok,
+                      hello_message{m_self_name, row.m_sent_subscribed,
+                                    m_relay_address, m_availability_zone,
+                                    m_known_runners ? m_known_runners() : 0,
+                                    !m_members_known}});
 }
 
 void member_links::stop()
 {
     m_stopped = true;
-    follow({});
+    set_members({});
 }
 
 dial_times member_links::choose_times(unsigned failures) const
 {
-    return choose_dial_times({elapsed(m_alone_since, m_time.now()), failures});
+    return choose_dial_times(
+        {elapsed(m_isolated_since, m_time.now()), failures});
 }
 
-task<> member_links::keep_connected(std::shared_ptr<link_row> row)
+task<> member_links::keep_connected(std::shared_ptr<member_link> row)
 {
     unsigned failures = 0;
-    while (!row->m_dropped && !m_stopped)
+    while (!row->m_removed && !m_stopped)
     {
         if (!needed(*row))
         {
@@ -157,15 +158,15 @@
         }
         std::string reason;
         const auto times = choose_times(failures);
-        auto link = co_await connect_frames(m_io, row->m_address,
-                                            times.m_patience, reason);
-        if (row->m_dropped || m_stopped)
+        auto link = co_await connect_frame_link(m_io, row->m_address,
+                                                times.m_timeout, reason);
+        if (row->m_removed || m_stopped)
             co_return;
         row->m_failed = !link;
         if (!link)
         {
             row->m_failed_at = m_time.now();
-            fail_waiting(*row);
+            fail_queued(*row);
             if (failures++ == 0)
                 LOG(WARNING) << "event=storage_unreachable vm=" << row->m_name
                              << " address=" << row->m_address << " reason=\""
@@ -183,22 +184,22 @@
     }
 }
 
-task<std::string> member_links::serve_link(std::shared_ptr<link_row> row,
+task<std::string> member_links::serve_link(std::shared_ptr<member_link> row,
                                            std::shared_ptr<frame_link> link)
 {
     async_event closed(m_io);
     std::string reason;
     row->m_link = link;
     row->m_number = ++m_last_number;
-    note_heard(row->m_name, *row);
+    record_received(row->m_name, *row);
     link->start(
-        [this, row](frame value) { take_frame(*row, std::move(value)); },
+        [this, row](frame value) { handle_frame(*row, std::move(value)); },
         [&closed, &reason](const std::string& why) {
             reason = why;
             closed.notify();
         });
-    greet(*row);
-    send_waiting(*row);
+    send_hello(*row);
+    send_queued(*row);
     LOG(INFO) << "event=storage_connected vm=" << row->m_name
               << " address=" << row->m_address;
     while (link->open())
@@ -211,26 +212,26 @@
     row->m_failed = reason != unused_reason;
     row->m_failed_at = m_time.now();
     end_calls(row->m_name, *row);
-    note_lost();
+    update_isolation();
     co_return reason;
 }
 
-void member_links::note_lost()
+void member_links::update_isolation()
 {
     const bool alone =
-        std::none_of(m_rows.begin(), m_rows.end(), [](const auto& row) {
+        std::none_of(m_links.begin(), m_links.end(), [](const auto& row) {
             return row.second->m_link != nullptr;
         });
     if (alone)
-        m_alone_since = m_time.now();
+        m_isolated_since = m_time.now();
 }
 
-void member_links::take_frame(link_row& row, frame value)
+void member_links::handle_frame(member_link& row, frame value)
 {
-    note_heard(row.m_name, row);
+    record_received(row.m_name, row);
     if (value.m_call != 0)
     {
-        row.m_answered = row.m_heard;
+        row.m_last_reply = row.m_last_received;
         const auto found = row.m_calls.find(value.m_call);
         if (found == row.m_calls.end())
             return;
@@ -247,76 +248,80 @@
             m_on_state(row.m_name, *state);
     }
     else if (const auto* beat = std::get_if<beat_message>(&value.m_body))
-        take_beat(row, *beat);
+        handle_heartbeat(row, *beat);
 }
 
-void member_links::take_beat(link_row& row, const beat_message& beat)
+void member_links::handle_heartbeat(member_link& row, const beat_message& beat)
 {
     const milliseconds age{beat.m_store_age_ms};
     if (age > fresh_store)
         return;
     const auto heard = m_time.now() - age;
-    m_store_heard = std::max(m_store_heard, heard);
+    m_store_last_seen = std::max(m_store_last_seen, heard);
     if (!beat.m_watches)
         return;
-    row.m_watched = std::max(row.m_watched, heard);
-    m_store_watched = std::max(m_store_watched, heard);
+    row.m_last_watched = std::max(row.m_last_watched, heard);
+    m_store_last_watched = std::max(m_store_last_watched, heard);
 }
 
 bool member_links::watches_store(const std::string& name) const
 {
-    const auto found = m_rows.find(name);
-    return found != m_rows.end() && found->second->m_link &&
-           m_time.now() - found->second->m_watched <= fresh_store;
+    const auto found = m_links.find(name);
+    return found != m_links.end() && found->second->m_link &&
+           m_time.now() - found->second->m_last_watched <= fresh_store;
 }
 
-void member_links::note_heard(const std::string& name, link_row& row)
+void member_links::record_received(const std::string& name, member_link& row)
 {
-    row.m_heard = m_time.now();
-    row.m_silent = false;
-    if (m_detours != nullptr)
-        m_detours->end(name);
+    row.m_last_received = m_time.now();
+    row.m_unresponsive = false;
+    if (m_relay_client != nullptr)
+        m_relay_client->end_relaying(name);
 }
 
-void member_links::offer_relay(std::string relay_address,
-                               std::string availability_zone)
+void member_links::advertise_relay(std::string relay_address,
+                                   std::string availability_zone)
 {
     m_relay_address = std::move(relay_address);
     m_availability_zone = std::move(availability_zone);
 }
 
 void member_links::call(const std::string& name, std::uint64_t epoch,
-                        frame_body body, frame_done done, milliseconds patience)
+                        frame_body body, reply_handler done,
+                        milliseconds patience)
 {
-    const auto found = m_rows.find(name);
-    if (found == m_rows.end())
+    const auto found = m_links.find(name);
+    if (found == m_links.end())
     {
         done(std::nullopt);
         return;
     }
     const auto row = found->second;
-    row->m_used = m_time.now();
-    const bool may_go_round = m_detours != nullptr && may_be_relayed(body);
+    row->m_last_used = m_time.now();
+    const bool may_go_round = m_relay_client != nullptr && may_be_relayed(body);
     frame question{0, epoch, frame_status::ok, std::move(body)};
-    if (may_go_round && !presumed(*row) &&
-        !reached(facts_of(*row), m_time.now()) && m_detours->hopeful(name))
+    if (may_go_round && !connectable(*row) &&
+        !is_reachable(facts_of(*row), m_time.now()) &&
+        m_relay_client->may_reach(name))
     {
-        m_detours->ask(name, reason_of(*row), question, std::move(done),
-                       silence_before_detour(patience));
+        m_relay_client->send_request(name, reason_of(*row), question,
+                                     std::move(done),
+                                     direct_timeout_for(patience));
         return;
     }
-    direct_call asked{std::move(done), m_time.now(),
-                      silence_before_detour(patience), std::nullopt, false};
+    direct_request asked{std::move(done), m_time.now(),
+                         direct_timeout_for(patience), std::nullopt, false};
     if (may_go_round)
-        asked.m_question.emplace();
-    ask_link(*row, std::move(question), std::move(asked));
+        asked.m_frame.emplace();
+    send_on_link(*row, std::move(question), std::move(asked));
 }
 
-void member_links::ask_link(link_row& row, frame question, direct_call asked)
+void member_links::send_on_link(member_link& row, frame question,
+                                direct_request asked)
 {
-    if (presumed(row))
+    if (connectable(row))
     {
-        send_later(row, std::move(question), std::move(asked));
+        enqueue(row, std::move(question), std::move(asked));
         return;
     }
     if (!row.m_link)
@@ -324,36 +329,36 @@
         asked.m_done(std::nullopt);
         return;
     }
-    ++m_asked_directly;
-    const bool watched = asked.m_question || asked.m_direct_only;
+    ++m_direct_requests;
+    const bool watched = asked.m_frame || asked.m_direct_only;
     question.m_call = m_next_call++;
     const auto call = question.m_call;
     row.m_calls[call] = std::move(asked);
     row.m_link->send(question);
-    if (row.m_calls[call].m_question)
-        row.m_calls[call].m_question = std::move(question);
-    if (watched && !std::exchange(m_watching_silence, true))
-        spawn(m_io, "member_links.watch", watch_silence());
+    if (row.m_calls[call].m_frame)
+        row.m_calls[call].m_frame = std::move(question);
+    if (watched && !std::exchange(m_monitoring, true))
+        spawn(m_io, "member_links.watch", monitor_links());
 }
 
-task<std::optional<frame>> member_links::ask(std::string name,
-                                             std::uint64_t epoch,
-                                             frame_body body, instant until)
+task<std::optional<frame>> member_links::request(std::string name,
+                                                 std::uint64_t epoch,
+                                                 frame_body body, instant until)
 {
-    return await_answer(std::move(name), epoch, std::move(body), until, false);
+    return await_reply(std::move(name), epoch, std::move(body), until, false);
 }
 
-task<std::optional<frame>> member_links::ask_directly(std::string name,
-                                                      std::uint64_t epoch,
-                                                      frame_body body,
-                                                      instant until)
+task<std::optional<frame>> member_links::request_directly(std::string name,
+                                                          std::uint64_t epoch,
+                                                          frame_body body,
+                                                          instant until)
 {
-    return await_answer(std::move(name), epoch, std::move(body), until, true);
+    return await_reply(std::move(name), epoch, std::move(body), until, true);
 }
 
 task<std::optional<frame>>
-member_links::await_answer(std::string name, std::uint64_t epoch,
-                           frame_body body, instant until, bool direct_only)
+member_links::await_reply(std::string name, std::uint64_t epoch,
+                          frame_body body, instant until, bool direct_only)
 {
     struct asked
     {
@@ -368,13 +373,14 @@
         state->m_answer = std::move(answer);
         state->m_changed.notify();
     };
-    const auto found = m_rows.find(name);
+    const auto found = m_links.find(name);
     if (!direct_only)
         call(name, epoch, std::move(body), take,
              std::chrono::duration_cast<milliseconds>(until - m_time.now()));
-    else if (found != m_rows.end())
-        ask_link(*found->second, {0, epoch, frame_status::ok, std::move(body)},
-                 {take, m_time.now(), usual_silence, std::nullopt, true});
+    else if (found != m_links.end())
+        send_on_link(
+            *found->second, {0, epoch, frame_status::ok, std::move(body)},
+            {take, m_time.now(), direct_reply_timeout, std::nullopt, true});
     else
         co_return std::nullopt;
     while (!state->m_done && m_time.now() < until)
@@ -382,29 +388,30 @@
     co_return std::move(state->m_answer);
 }
 
-void member_links::tell(const std::string& name, frame_body body)
+void member_links::notify(const std::string& name, frame_body body)
 {
-    const auto found = m_rows.find(name);
-    if (found == m_rows.end())
+    const auto found = m_links.find(name);
+    if (found == m_links.end())
         return;
     auto& row = *found->second;
-    row.m_used = m_time.now();
+    row.m_last_used = m_time.now();
     frame notice{0, 0, frame_status::ok, std::move(body)};
-    if (presumed(row))
-        send_later(row, std::move(notice), std::nullopt);
-    else if (m_detours != nullptr && !reached(facts_of(row), m_time.now()) &&
-             may_be_relayed(notice.m_body) && m_detours->hopeful(name))
-        m_detours->ask(
+    if (connectable(row))
+        enqueue(row, std::move(notice), std::nullopt);
+    else if (m_relay_client != nullptr &&
+             !is_reachable(facts_of(row), m_time.now()) &&
+             may_be_relayed(notice.m_body) && m_relay_client->may_reach(name))
+        m_relay_client->send_request(
             name, reason_of(row), notice, [](const std::optional<frame>&) {},
-            usual_silence);
+            direct_reply_timeout);
     else if (row.m_link)
         row.m_link->send(notice);
 }
 
-void member_links::tell_view(const std::string& name, const cluster_view& view)
+void member_links::send_view(const std::string& name, const cluster_view& view)
 {
-    const auto found = m_rows.find(name);
-    if (found == m_rows.end() || !found->second->m_link)
+    const auto found = m_links.find(name);
+    if (found == m_links.end() || !found->second->m_link)
         return;
     cluster_state told;
     told.m_views = {view};
@@ -414,40 +421,40 @@
 
 bool member_links::connected(const std::string& name) const
 {
-    const auto found = m_rows.find(name);
-    if (found == m_rows.end())
+    const auto found = m_links.find(name);
+    if (found == m_links.end())
         return false;
-    return found->second->m_link != nullptr || presumed(*found->second) ||
-           (m_detours != nullptr &&
-            m_time.now() - m_detours->last_heard(name) < heard_within);
+    return found->second->m_link != nullptr || connectable(*found->second) ||
+           (m_relay_client != nullptr &&
+            m_time.now() - m_relay_client->last_seen(name) < liveness_timeout);
 }
 
-bool member_links::reached_directly(const std::string& name) const
+bool member_links::reachable_directly(const std::string& name) const
 {
-    const auto found = m_rows.find(name);
-    return found != m_rows.end() &&
-           reached(facts_of(*found->second), m_time.now());
+    const auto found = m_links.find(name);
+    return found != m_links.end() &&
+           is_reachable(facts_of(*found->second), m_time.now());
 }
 
-std::uint64_t member_links::standing_link(const std::string& name) const
+std::uint64_t member_links::live_connection(const std::string& name) const
 {
-    return reached_directly(name) ? m_rows.at(name)->m_number : 0;
+    return reachable_directly(name) ? m_links.at(name)->m_number : 0;
 }
 
-bool member_links::hopeful(const std::string& name) const
+bool member_links::may_reach(const std::string& name) const
 {
-    const auto found = m_rows.find(name);
-    return found == m_rows.end() || !found->second->m_failed;
+    const auto found = m_links.find(name);
+    return found == m_links.end() || !found->second->m_failed;
 }
 
-instant member_links::last_heard(const std::string& name) const
+instant member_links::last_seen(const std::string& name) const
 {
-    const auto found = m_rows.find(name);
-    if (found == m_rows.end())
+    const auto found = m_links.find(name);
+    if (found == m_links.end())
         return {};
     const auto round =
-        m_detours == nullptr ? instant{} : m_detours->last_heard(name);
-    return std::max(found->second->m_heard, round);
+        m_relay_client == nullptr ? instant{} : m_relay_client->last_seen(name);
+    return std::max(found->second->m_last_received, round);
 }
 
 } // namespace pepperturn
--- a/src/cluster/member_silence.cpp
+++ b/src/cluster/member_silence.cpp
@@ -17,7 +17,7 @@
 class first_answer
 {
 public:
-    first_answer(frame_done done, int ways)
+    first_answer(reply_handler done, int ways)
         : m_done(std::move(done)), m_ways(ways)
     {}
     void take(std::optional<frame> answer)
@@ -29,26 +29,27 @@
     }
 
 private:
-    frame_done m_done;
+    reply_handler m_done;
     int m_ways;
 };
 
 } // namespace
 
-link_facts member_links::facts_of(const link_row& row)
+link_facts member_links::facts_of(const member_link& row)
 {
-    return {row.m_link != nullptr, row.m_silent, row.m_heard, row.m_answered};
+    return {row.m_link != nullptr, row.m_unresponsive, row.m_last_received,
+            row.m_last_reply};
 }
 
-const char* member_links::reason_of(const link_row& row)
+const char* member_links::reason_of(const member_link& row)
 {
     return row.m_link ? link_silent : link_lost;
 }
 
-void member_links::note_silent(const std::string& name, link_row& row)
+void member_links::mark_unresponsive(const std::string& name, member_link& row)
 {
-    row.m_silent = true;
-    if (m_detours == nullptr)
+    row.m_unresponsive = true;
+    if (m_relay_client == nullptr)
         return;
     std::vector<std::uint64_t> waiting;
     waiting.reserve(row.m_calls.size());
@@ -65,84 +66,86 @@
             row.m_calls.erase(found);
             done(std::nullopt);
         }
-        else if (found->second.m_question)
-            go_round(name, found->second);
+        else if (found->second.m_frame)
+            relay_request(name, found->second);
     }
 }
 
-void member_links::go_round(const std::string& name, direct_call& asked)
+void member_links::relay_request(const std::string& name, direct_request& asked)
 {
-    const auto question = *std::exchange(asked.m_question, std::nullopt);
+    const auto question = *std::exchange(asked.m_frame, std::nullopt);
     const auto first =
         std::make_shared<first_answer>(std::move(asked.m_done), 2);
     const auto take = [first](std::optional<frame> answer) {
         first->take(std::move(answer));
     };
     asked.m_done = take;
-    m_detours->ask(name, link_silent, question, take, asked.m_patience);
+    m_relay_client->send_request(name, link_silent, question, take,
+                                 asked.m_timeout);
 }
 
-void member_links::end_calls(const std::string& name, link_row& row)
+void member_links::end_calls(const std::string& name, member_link& row)
 {
     for (auto& [call, asked] : std::exchange(row.m_calls, {}))
     {
-        if (asked.m_question && !row.m_dropped && !m_stopped &&
-            m_detours->hopeful(name))
-            m_detours->ask(name, link_lost, *asked.m_question,
-                           std::move(asked.m_done), asked.m_patience);
+        if (asked.m_frame && !row.m_removed && !m_stopped &&
+            m_relay_client->may_reach(name))
+            m_relay_client->send_request(name, link_lost, *asked.m_frame,
+                                         std::move(asked.m_done),
+                                         asked.m_timeout);
         else
             asked.m_done(std::nullopt);
     }
 }
 
-task<> member_links::watch_silence()
+task<> member_links::monitor_links()
 {
     do
     {
         const auto before = m_time.now();
         co_await sleep_for(m_io, silence_check);
         // What came while this process did not run is read first.
-        if (m_time.now() - before >= longest_lag)
+        if (m_time.now() - before >= max_scheduling_lag)
             co_await sleep_for(m_io, silence_check);
-    } while (look_for_silence());
-    m_watching_silence = false;
+    } while (check_links());
+    m_monitoring = false;
 }
 
-bool member_links::look_for_silence()
+bool member_links::check_links()
 {
     const auto now = m_time.now();
     bool waits = false;
-    std::vector<std::pair<std::string, std::shared_ptr<link_row>>> silent;
-    for (const auto& [name, row] : m_rows)
+    std::vector<std::pair<std::string, std::shared_ptr<member_link>>> silent;
+    for (const auto& [name, row] : m_links)
     {
-        if (!row->m_link || row->m_silent)
+        if (!row->m_link || row->m_unresponsive)
             continue;
         const auto facts = facts_of(*row);
         for (const auto& [call, asked] : row->m_calls)
         {
-            if (!asked.m_question && !asked.m_direct_only)
+            if (!asked.m_frame && !asked.m_direct_only)
                 continue;
-            waits |= row->m_answered <= asked.m_asked;
-            if (!is_silent(facts, asked.m_asked, asked.m_patience, now))
+            waits |= row->m_last_reply <= asked.m_sent_at;
+            if (!is_unresponsive(facts, asked.m_sent_at, asked.m_timeout, now))
                 continue;
             silent.emplace_back(name, row);
             break;
         }
     }
     for (const auto& [name, row] : silent)
-        note_silent(name, *row);
+        mark_unresponsive(name, *row);
     return waits;
 }
 
 void member_links::tick()
 {
-    if (m_detours == nullptr || !m_following)
+    if (m_relay_client == nullptr || !m_members_known)
         return;
     const auto now = m_time.now();
-    for (const auto& [name, row] : std::map(m_rows))
+    for (const auto& [name, row] : std::map(m_links))
     {
-        if (needed(*row) && wants_probe(facts_of(*row), now))
-            m_detours->probe(name, reason_of(*row));
+        if (needed(*row) && needs_probe(facts_of(*row), now))
+            m_relay_client->probe(name, reason_of(*row));
     }
 }
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -35,7 +35,7 @@
             return false;
         if (row.m_name != facts.m_self.m_name &&
             row.m_state == member_state::full &&
-            !facts.m_silent.contains(row.m_name))
+            !facts.m_unresponsive.contains(row.m_name))
             ++count;
     }
     return count > facts.m_disk_losses;
@@ -60,11 +60,11 @@
 std::optional<cluster_view> view_without_silent(const cluster_view& view,
                                                 const membership_facts& facts)
 {
-    for (const auto& name : facts.m_silent)
+    for (const auto& name : facts.m_unresponsive)
     {
         if (may_evict(view, name, facts.m_disk_losses))
             return without(view, name);
-        if (may_abandon(view, name, facts.m_disk_losses))
+        if (may_mark_lost(view, name, facts.m_disk_losses))
             return with_state(view, name, member_state::lost);
     }
     return std::nullopt;
@@ -88,7 +88,7 @@
     {
         if (row.m_name == facts.m_self.m_name || !takes_writes(row.m_state))
             continue;
-        if (!facts.m_unheard.contains(row.m_name))
+        if (!facts.m_unreachable.contains(row.m_name))
             return true;
         any = true;
     }
@@ -133,8 +133,8 @@
 
 } // namespace
 
-std::optional<cluster_view> wanted_view(const cluster_view& view,
-                                        const membership_facts& facts)
+std::optional<cluster_view> desired_view(const cluster_view& view,
+                                         const membership_facts& facts)
 {
     if (!facts.m_view_known)
         return std::nullopt;
@@ -165,7 +165,7 @@
         if (another_joins(view, self.m_name))
         {
             // The copies of its old disk are nowhere any more.
-            if (may_abandon(view, self.m_name, facts.m_disk_losses))
+            if (may_mark_lost(view, self.m_name, facts.m_disk_losses))
                 return with_state(view, self.m_name, member_state::lost);
             return view_without_silent(view, facts);
         }
@@ -249,12 +249,12 @@
         const auto quorums =
             quorums_of(own->m_intact ? without(view, self) : view, disk_losses);
         const auto leaving = static_cast<std::uint32_t>(plan.m_required.size());
-        plan.m_enough =
+        plan.m_any_needed =
             std::max(quorums.m_read, quorums.m_read_all -
                                          std::min(quorums.m_read_all, leaving));
         // Several joined side by side after overlapping losses: the full ones
         // may be too few for ever.
-        const auto holders = plan.m_enough > plan.m_any.size()
+        const auto holders = plan.m_any_needed > plan.m_any.size()
                                  ? holders_of_all(view, self, disk_losses)
                                  : std::nullopt;
         if (holders)
@@ -262,7 +262,7 @@
             plan.m_required.insert(plan.m_required.end(), holders->begin(),
                                    holders->end());
             plan.m_any.clear();
-            plan.m_enough = 0;
+            plan.m_any_needed = 0;
         }
     }
     if (collector != nullptr && !collects)
--- a/src/cluster/neighbours.cpp
+++ b/src/cluster/neighbours.cpp
@@ -33,9 +33,9 @@
 } // namespace
 
 std::vector<neighbour>
-choose_neighbours(const std::vector<neighbour>& candidates,
-                  const std::string& asker,
-                  const std::string& availability_zone)
+choose_relay_peers(const std::vector<neighbour>& candidates,
+                   const std::string& asker,
+                   const std::string& availability_zone)
 {
     std::vector<ranked_neighbour> near;
     std::vector<ranked_neighbour> far;
@@ -49,15 +49,15 @@
         rows.push_back({hash64(row.m_name, asker_hash), &row});
     }
     std::vector<neighbour> out;
-    take_first(near, near_neighbours, out);
-    take_first(far, far_neighbours, out);
+    take_first(near, near_peer_count, out);
+    take_first(far, far_peer_count, out);
     return out;
 }
 
 std::optional<std::size_t>
-next_neighbour(const std::vector<neighbour_facts>& rows,
-               const std::string& member, const std::string& availability_zone,
-               instant now)
+next_relay_peer(const std::vector<relay_peer_facts>& rows,
+                const std::string& member, const std::string& availability_zone,
+                instant now)
 {
     const bool tried_near =
         std::any_of(rows.begin(), rows.end(), [&](const auto& row) {
@@ -69,10 +69,12 @@
     for (std::size_t i = 0; i < rows.size(); ++i)
     {
         const auto& row = rows[i];
-        if (row.m_tried || row.m_avoid_until > now || row.m_cannot_until > now)
+        if (row.m_tried || row.m_backoff_until > now ||
+            row.m_unreachable_until > now)
             continue;
         const bool near = row.m_availability_zone == availability_zone;
-        const std::tuple rank{row.m_under_way / busier_by, near == tried_near,
+        const std::tuple rank{row.m_in_flight / requests_per_load_step,
+                              near == tried_near,
                               hash64(row.m_name, member_hash)};
         if (best && best_rank <= rank)
             continue;
--- a/src/cluster/news_sources.cpp
+++ b/src/cluster/news_sources.cpp
@@ -74,7 +74,7 @@
     std::vector<std::string> relays;
     for (const auto& name : order)
     {
-        if (relays.size() < relays_in_zone &&
+        if (relays.size() < relays_per_zone &&
             zones[name] == own->m_availability_zone)
             relays.push_back(name);
     }
@@ -89,20 +89,20 @@
     const auto position = facts.m_position.value_or(SIZE_MAX);
     if (position < watcher_count)
         return true;
-    if (facts.m_fresh >= least_watchers)
+    if (facts.m_fresh_watchers >= min_watchers)
         return false;
     const auto steps = std::min(position - watcher_count + 1, most_steps);
     return facts.m_too_few_for >= steps * takeover_step;
 }
 
-milliseconds store_patience(bool large_fleet, bool hears_storage)
+milliseconds store_read_delay(bool large_fleet, bool hears_storage)
 {
     return large_fleet && hears_storage ? large_fleet_patience : seed_patience;
 }
 
-std::size_t sources_wanted(const listener_facts& facts)
+std::size_t target_source_count(const subscriber_facts& facts)
 {
-    const bool alone = facts.m_large_fleet && !facts.m_told &&
+    const bool alone = facts.m_large_fleet && !facts.m_received_full_state &&
                        facts.m_since_start < first_list_patience;
     return alone ? 1 : source_count;
 }
--- a/src/cluster/owner_views.cpp
+++ b/src/cluster/owner_views.cpp
@@ -75,7 +75,7 @@
     std::vector<member_names> out;
     for (const auto& view : views)
     {
-        if (view.m_steps.size() >= most_view_steps)
+        if (view.m_steps.size() >= max_view_steps)
             return std::nullopt;
         for (const auto& earlier : earlier_views(view))
             out.push_back(all_writers(views, view.m_set, earlier.m_writers));
@@ -90,12 +90,14 @@
 {
     const auto& periods = owners.m_history.m_periods;
     return std::all_of(periods.begin(), periods.end(), [&](const auto& row) {
-        return row.m_until == instant::max() || now - row.m_until > takeover;
+        return row.m_replaced_at == instant::max() ||
+               now - row.m_replaced_at > takeover;
     });
 }
 
-owner_knowledge kept_knowledge(const std::vector<cluster_view>& views,
-                               bool settled, instant now, milliseconds takeover)
+owner_knowledge restore_knowledge(const std::vector<cluster_view>& views,
+                                  bool settled, instant now,
+                                  milliseconds takeover)
 {
     if (views.empty())
         return {};
@@ -104,28 +106,29 @@
     {
         const auto earlier = earlier_lists(views);
         if (!earlier)
-            note_missed_list(out.m_history, now, takeover);
+            record_missed_members(out.m_history, now, takeover);
         else
             for (const auto& names : *earlier)
-                note_members(out.m_history, names, now, takeover);
+                record_members(out.m_history, names, now, takeover);
     }
-    note_members(out.m_history, all_writers(views), now, takeover);
+    record_members(out.m_history, all_writers(views), now, takeover);
     return out;
 }
 
-bool take_views(owner_knowledge& owners, const std::vector<cluster_view>& views,
-                instant now, milliseconds takeover)
+bool apply_views(owner_knowledge& owners,
+                 const std::vector<cluster_view>& views, instant now,
+                 milliseconds takeover)
 {
     const auto lists = lists_since(owners.m_views, views);
     owners.m_views = views;
     if (!lists)
     {
-        note_missed_list(owners.m_history, now, takeover);
-        (void)take_views(owners, views, now, takeover);
+        record_missed_members(owners.m_history, now, takeover);
+        (void)apply_views(owners, views, now, takeover);
         return false;
     }
     for (const auto& names : *lists)
-        note_members(owners.m_history, names, now, takeover);
+        record_members(owners.m_history, names, now, takeover);
     return true;
 }
 
--- a/src/cluster/relay_server.cpp
+++ b/src/cluster/relay_server.cpp
@@ -58,31 +58,32 @@
 
 void relay_server::add_link(tcp::socket socket)
 {
-    const auto link = std::make_shared<frame_link>(
-        m_io, std::move(socket), most_relayed_ask_bytes + relay_frame_overhead);
+    const auto link = std::make_shared<frame_link>(m_io, std::move(socket),
+                                                   max_relayed_request_bytes +
+                                                       relay_frame_overhead);
     m_links.insert(link);
     const std::weak_ptr<frame_link> weak = link;
     link->start(
         [this, weak](frame value) {
             if (const auto from = weak.lock())
-                take_frame(from, std::move(value));
+                handle_frame(from, std::move(value));
         },
         [this, weak](const std::string& reason) {
             const auto from = weak.lock();
-            if (from && from->violated())
-                note_violation(reason);
+            if (from && from->protocol_violated())
+                record_violation(reason);
             m_links.erase(from);
-            m_listeners.erase(from);
+            m_subscribers.erase(from);
         });
 }
 
-void relay_server::note_violation(const std::string& reason)
+void relay_server::record_violation(const std::string& reason)
 {
     ++m_counts.m_violations;
     const auto now = m_time.now();
-    if (now < m_next_line)
+    if (now < m_next_log)
         return;
-    m_next_line = now + line_interval;
+    m_next_log = now + line_interval;
     LOG(WARNING) << "event=relay_violated reason=\"" << reason
                  << "\" violations=" << m_counts.m_violations;
 }
@@ -90,12 +91,12 @@
 void relay_server::close(const std::shared_ptr<frame_link>& link,
                          const std::string& reason)
 {
-    note_violation(reason);
+    record_violation(reason);
     link->close(reason);
 }
 
-std::optional<frame> relay_server::read_question(const relayed_message& value,
-                                                 std::string& reason) const
+std::optional<frame> relay_server::read_request(const relayed_message& value,
+                                                std::string& reason) const
 {
     auto question = decode_frame(value.m_frame, reason);
     if (!question || may_be_relayed(question->m_body))
@@ -105,12 +106,12 @@
     return std::nullopt;
 }
 
-void relay_server::take_frame(const std::shared_ptr<frame_link>& link,
-                              frame value)
+void relay_server::handle_frame(const std::shared_ptr<frame_link>& link,
+                                frame value)
 {
     if (const auto* hello = std::get_if<hello_message>(&value.m_body))
     {
-        take_hello(link, *hello);
+        handle_hello(link, *hello);
         return;
     }
     auto* relayed = std::get_if<relayed_message>(&value.m_body);
@@ -120,69 +121,69 @@
         return;
     }
     std::string reason;
-    auto question = read_question(*relayed, reason);
+    auto question = read_request(*relayed, reason);
     if (!question)
     {
         close(link, reason);
         return;
     }
     const auto bytes = relayed->m_frame.size();
-    if (m_under_way >= m_limits.m_under_way ||
-        !m_hooks.m_reaches(relayed->m_member) ||
-        !take_ask(m_budget, m_limits, bytes, m_time.now()))
+    if (m_in_flight >= m_limits.m_max_in_flight ||
+        !m_hooks.m_is_reachable(relayed->m_member) ||
+        !admit_relayed_request(m_budget, m_limits, bytes, m_time.now()))
     {
-        refuse(*link, value.m_call, relayed->m_member);
+        reject(*link, value.m_call, relayed->m_member);
         return;
     }
-    ++m_counts.m_asks;
+    ++m_counts.m_requests;
     m_counts.m_bytes += bytes;
-    ++m_under_way;
+    ++m_in_flight;
     spawn(m_io, "relay_server.pass_on",
-          pass_on(link, value.m_call, std::move(relayed->m_member),
-                  std::move(*question)));
+          relay_request(link, value.m_call, std::move(relayed->m_member),
+                        std::move(*question)));
 }
 
-void relay_server::take_hello(const std::shared_ptr<frame_link>& link,
-                              const hello_message& hello)
+void relay_server::handle_hello(const std::shared_ptr<frame_link>& link,
+                                const hello_message& hello)
 {
     if (!hello.m_wants_news)
-        m_listeners.erase(link);
-    else if (m_hooks.m_world && m_listeners.insert(link).second)
-        link->send({0, 0, frame_status::ok, m_hooks.m_world()});
+        m_subscribers.erase(link);
+    else if (m_hooks.m_state && m_subscribers.insert(link).second)
+        link->send({0, 0, frame_status::ok, m_hooks.m_state()});
 }
 
-void relay_server::tell_news(const cluster_state& news)
+void relay_server::send_updates(const cluster_state& news)
 {
-    for (const auto& link : std::set(m_listeners))
+    for (const auto& link : std::set(m_subscribers))
         link->send({0, 0, frame_status::ok, news});
 }
 
-void relay_server::refuse(frame_link& link, std::uint64_t call,
+void relay_server::reject(frame_link& link, std::uint64_t call,
                           const std::string& member)
 {
     ++m_counts.m_refused;
     link.send({call, 0, frame_status::failed, relayed_message{member, {}}});
 }
 
-task<> relay_server::pass_on(std::shared_ptr<frame_link> link,
-                             std::uint64_t call, std::string member,
-                             frame question)
+task<> relay_server::relay_request(std::shared_ptr<frame_link> link,
+                                   std::uint64_t call, std::string member,
+                                   frame question)
 {
-    const auto answer = co_await m_hooks.m_ask(member, question.m_epoch,
-                                               std::move(question.m_body),
-                                               m_time.now() + pass_patience);
-    --m_under_way;
+    const auto answer = co_await m_hooks.m_request(
+        member, question.m_epoch, std::move(question.m_body),
+        m_time.now() + pass_patience);
+    --m_in_flight;
     if (!link->open())
         co_return;
     auto bytes =
         answer ? encode_frame(*answer).substr(length_bytes) : std::string{};
-    if (bytes.empty() || bytes.size() > most_relayed_answer_bytes)
+    if (bytes.empty() || bytes.size() > max_relayed_reply_bytes)
     {
-        refuse(*link, call, member);
+        reject(*link, call, member);
         co_return;
     }
     m_counts.m_bytes += bytes.size();
-    note_answer(m_budget, bytes.size());
+    charge_reply(m_budget, bytes.size());
     link->send({call, 0, frame_status::ok,
                 relayed_message{std::move(member), std::move(bytes)}});
 }
--- a/src/cluster/replica_sets.cpp
+++ b/src/cluster/replica_sets.cpp
@@ -60,8 +60,8 @@
     return set_count == 0 ? 0 : static_cast<std::uint32_t>(hash % set_count);
 }
 
-std::vector<cluster_view> found_sets(std::vector<member> vms,
-                                     std::uint32_t disk_losses)
+std::vector<cluster_view> initial_views(std::vector<member> vms,
+                                        std::uint32_t disk_losses)
 {
     const auto count = set_count_for(vms.size(), disk_losses);
     std::vector<cluster_view> views(count);
@@ -85,8 +85,8 @@
     return views;
 }
 
-const cluster_view* find_home(const std::vector<cluster_view>& views,
-                              const std::string& vm)
+const cluster_view* find_replica_set(const std::vector<cluster_view>& views,
+                                     const std::string& vm)
 {
     const auto found =
         std::find_if(views.begin(), views.end(), [&](const cluster_view& view) {
--- a/src/cluster/state.cpp
+++ b/src/cluster/state.cpp
@@ -44,7 +44,7 @@
         if (news.m_revision <= row->m_revision)
             return;
         const bool differs =
-            news.m_text != row->m_text || news.m_gone != row->m_gone;
+            news.m_text != row->m_text || news.m_removed != row->m_removed;
         *row = news;
         if (differs)
             m_changed.push_back(news.m_name);
@@ -60,7 +60,7 @@
         std::sort(present.begin(), present.end());
         for (auto& row : m_rows)
         {
-            if (row.m_gone || row.m_revision > revision ||
+            if (row.m_removed || row.m_revision > revision ||
                 std::binary_search(present.begin(), present.end(),
                                    std::string_view(row.m_name)))
                 continue;
@@ -88,7 +88,7 @@
         }
         for (auto row = m_rows.begin() + known; row != m_rows.end(); ++row)
         {
-            if (!row->m_gone)
+            if (!row->m_removed)
                 m_changed.push_back(row->m_name);
         }
         std::inplace_merge(m_rows.begin(), m_rows.begin() + known, m_rows.end(),
@@ -108,7 +108,7 @@
     std::vector<std::uint64_t> gone;
     for (const auto& row : rows)
     {
-        if (row.m_gone)
+        if (row.m_removed)
             gone.push_back(row.m_revision);
     }
     const auto most = std::max(rows.size() - gone.size(), least_gone_entries);
@@ -120,9 +120,9 @@
     std::nth_element(gone.begin(), newest_kept, gone.end(), std::greater<>());
     const auto oldest = *newest_kept;
     std::erase_if(rows, [&](const runner_entry& row) {
-        return row.m_gone && row.m_revision <= oldest;
+        return row.m_removed && row.m_revision <= oldest;
     });
-    state.m_gone_known_since = std::max(state.m_gone_known_since, oldest);
+    state.m_tombstones_since = std::max(state.m_tombstones_since, oldest);
 }
 
 /// What is told continues what is known without a gap.
@@ -140,7 +140,7 @@
     for (const auto& row : news.m_runners)
     {
         merge.take(row);
-        goes = goes || row.m_gone;
+        goes = goes || row.m_removed;
     }
     const bool whole = news.m_runners_revision > 0 && news.m_runners_since == 0;
     if (whole)
@@ -150,8 +150,8 @@
         forget_oldest_gone(state);
     // Of those that came and went before, a list says nothing.
     if (whole)
-        state.m_gone_known_since =
-            std::max(state.m_gone_known_since, news.m_runners_revision);
+        state.m_tombstones_since =
+            std::max(state.m_tombstones_since, news.m_runners_revision);
     if (whole || continues(state, news))
         state.m_runners_revision =
             std::max(state.m_runners_revision, news.m_runners_revision);
@@ -266,7 +266,8 @@
     return change;
 }
 
-cluster_state parts_of(const cluster_state& state, const state_change& change)
+cluster_state changed_parts(const cluster_state& state,
+                            const state_change& change)
 {
     cluster_state out;
     if (change.m_config)
@@ -295,26 +296,26 @@
     return out;
 }
 
-cluster_state whole_of(const cluster_state& state)
+cluster_state full_state(const cluster_state& state)
 {
     cluster_state out;
     tell_config(state, out);
     out.m_runners_revision = state.m_runners_revision;
     std::copy_if(state.m_runners.begin(), state.m_runners.end(),
                  std::back_inserter(out.m_runners),
-                 [](const runner_entry& row) { return !row.m_gone; });
+                 [](const runner_entry& row) { return !row.m_removed; });
     out.m_views = state.m_views;
     out.m_retirements = state.m_retirements;
     out.m_evacuations = state.m_evacuations;
     return out;
 }
 
-cluster_state news_since(const cluster_state& state, std::uint64_t known)
+cluster_state updates_since(const cluster_state& state, std::uint64_t known)
 {
-    const bool traceable = known > 0 && known >= state.m_gone_known_since &&
+    const bool traceable = known > 0 && known >= state.m_tombstones_since &&
                            known <= state.m_runners_revision;
     if (!traceable)
-        return whole_of(state);
+        return full_state(state);
     cluster_state out;
     tell_config(state, out);
     out.m_runners_revision = state.m_runners_revision;
@@ -360,7 +361,7 @@
 {
     return static_cast<std::size_t>(
         std::count_if(state.m_runners.begin(), state.m_runners.end(),
-                      [](const runner_entry& row) { return !row.m_gone; }));
+                      [](const runner_entry& row) { return !row.m_removed; }));
 }
 
 } // namespace pepperturn
--- a/src/cluster/view.cpp
+++ b/src/cluster/view.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-cluster_view succeed(const cluster_view& before, cluster_view next)
+cluster_view append_step(const cluster_view& before, cluster_view next)
 {
     const auto old_names = writers_of(before);
     const auto new_names = writers_of(next);
@@ -49,7 +49,7 @@
                                   std::back_inserter(step.m_toggled));
     next.m_steps = before.m_steps;
     next.m_steps.push_back(std::move(step));
-    if (next.m_steps.size() > most_view_steps)
+    if (next.m_steps.size() > max_view_steps)
         next.m_steps.erase(next.m_steps.begin());
     return next;
 }
@@ -190,8 +190,8 @@
     return write_quorum(full, disk_losses) < write_quorum(before, disk_losses);
 }
 
-bool may_abandon(const cluster_view& view, const std::string& name,
-                 std::uint32_t disk_losses)
+bool may_mark_lost(const cluster_view& view, const std::string& name,
+                   std::uint32_t disk_losses)
 {
     const auto* row = find_member(view, name);
     return row != nullptr && row->m_state != member_state::lost &&
--- a/src/core/prediction.cpp
+++ b/src/core/prediction.cpp
@@ -55,7 +55,7 @@
 bool is_usable(const core_state& state, const runner_row& runner)
 {
     return !runner.m_info.m_leaving && !runner.m_listed_leaving &&
-           runner.m_reachable && state.m_now >= runner.m_avoid_until;
+           runner.m_reachable && state.m_now >= runner.m_backoff_until;
 }
 
 candidate predict(const core_state& state, runner_row& runner,
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -408,7 +408,7 @@
     if (report == nullptr)
         return;
     if (report->m_end == attempt_end::not_sent)
-        runner.m_avoid_until = state.m_now + failed_runner_pause;
+        runner.m_backoff_until = state.m_now + failed_runner_pause;
     if (report->m_end == attempt_end::complete && report->m_output_tokens > 0)
         runner.m_mean_output +=
             output_smoothing * (report->m_output_tokens - runner.m_mean_output);
--- a/src/fleet/edge_node.cpp
+++ b/src/fleet/edge_node.cpp
@@ -37,7 +37,7 @@
       m_decoders(std::move(decoders)), m_source(source),
       m_links(io, time, settings.m_name),
       m_reach(io, time, settings, m_links,
-              [this] { return whole_of(m_state); }),
+              [this] { return full_state(m_state); }),
       m_config_fetcher(io, time, m_links, settings.m_availability_zone,
                        [this](const cluster_state& news) { take_state(news); }),
       m_turns(io, time, m_links, settings.m_availability_zone,
@@ -95,14 +95,14 @@
         !m_reach.start(reason))
         return false;
     m_metrics.listen_beside(m_settings.m_metrics_address);
-    m_proxy.bound_memory(m_settings.m_memory_mb);
-    m_proxy.guard_workspaces(
+    m_proxy.set_memory_limit(m_settings.m_memory_mb);
+    m_proxy.enable_workspace_admission(
         {[this] { return config_age(); }, m_staleness_limits, &m_quota});
-    m_proxy.know_zones(m_settings.m_zones);
+    m_proxy.set_zones(m_settings.m_zones);
     m_turns.set_zones(m_settings.m_zones);
-    m_proxy.place_by(m_places);
-    m_proxy.ask_for_cold(m_cold);
-    m_proxy.seed_draws(hash64(m_settings.m_name));
+    m_proxy.set_placement_client(m_places);
+    m_proxy.set_cold_client(m_cold);
+    m_proxy.set_random_seed(hash64(m_settings.m_name));
     m_links.on_state(
         [this](const std::string& from, const cluster_state& news) {
             take_told(news);
@@ -116,9 +116,9 @@
             m_config_fetcher.note_announced(row.m_name, news.m_config_revision);
     });
     m_started = m_time.now();
-    m_links.keep_connected_up_to(m_settings.m_kept_links);
-    m_links.on_greeting([this] { return m_state.m_runners_revision; });
-    m_links.seek(m_settings.m_seeds);
+    m_links.set_max_persistent(m_settings.m_kept_links);
+    m_links.on_hello([this] { return m_state.m_runners_revision; });
+    m_links.connect_seeds(m_settings.m_seeds);
     // Before the fleet is founded the store has no views.
     if (!m_settings.m_bootstrap)
         spawn(m_io, "edge_node.find_members", find_members());
@@ -165,9 +165,9 @@
         if (config)
         {
             m_config_revision = m_state.m_config_revision;
-            m_proxy.take_config(std::move(*config), m_config_revision);
-            m_source.keep_fresh({m_proxy.asks_keys(), {}, {}});
-            m_freshness_keeper.want(m_proxy.asks_keys());
+            m_proxy.apply_config(std::move(*config), m_config_revision);
+            m_source.keep_fresh({m_proxy.requires_keys(), {}, {}});
+            m_freshness_keeper.set_enabled(m_proxy.requires_keys());
         }
         else
             LOG(ERROR) << "event=config_unreadable revision="
@@ -175,14 +175,14 @@
                        << '"';
     }
     if (!change.m_runners.empty())
-        m_proxy.take_changes(
+        m_proxy.apply_runner_changes(
             decode_runners(m_state, change.m_runners, m_decoders));
     if (!change.m_evacuations.empty())
         m_proxy.evacuate(evacuated_zones(m_state));
     if (!change.m_views.empty())
         follow_views();
     if (change.any())
-        m_reach.tell_news(parts_of(m_state, change));
+        m_reach.tell_news(changed_parts(m_state, change));
 }
 
 void edge_node::follow_views()
@@ -193,13 +193,13 @@
     // Whoever is connected to first must already know whether it is heard.
     m_subscribed = true;
     choose_news();
-    m_links.follow(m_members);
+    m_links.set_members(m_members);
     m_reach.follow(m_members);
     choose_news();
-    m_config_fetcher.follow(m_members);
+    m_config_fetcher.set_members(m_members);
     m_turns.follow(m_state.m_views);
-    m_quota.follow(m_members);
-    m_places.follow(m_members);
+    m_quota.set_members(m_members);
+    m_places.set_members(m_members);
 }
 
 std::vector<std::string> edge_node::freshness_sources() const
@@ -214,7 +214,7 @@
         const bool watches = m_links.watches_store(row.m_name);
         const bool far =
             row.m_availability_zone != m_settings.m_availability_zone;
-        const bool linked = m_links.reached_directly(row.m_name);
+        const bool linked = m_links.reachable_directly(row.m_name);
         ranked.emplace_back(
             (linked ? 0 : 4) + (watches ? 0 : 2) + (far ? 1 : 0), row.m_name);
     }
@@ -228,17 +228,17 @@
 
 milliseconds edge_node::config_age() const
 {
-    auto at = m_freshness_keeper.freshness().m_config_at;
+    auto at = m_freshness_keeper.freshness().m_config_confirmed_at;
     const auto& own = m_source.freshness();
     if (own.m_config_revision <= m_config_revision)
-        at = std::max(at, own.m_freshness.m_config_at);
+        at = std::max(at, own.m_freshness.m_config_confirmed_at);
     return age_of(at, m_time.now());
 }
 
 bool edge_node::config_outdated() const
 {
-    return m_proxy.asks_keys() &&
-           config_age() > longest_use(m_staleness_limits);
+    return m_proxy.requires_keys() &&
+           config_age() > max_use_age(m_staleness_limits);
 }
 
 void edge_node::choose_news()
@@ -247,12 +247,12 @@
         return;
     auto sources = choose_sources(
         m_members, m_settings.m_name, m_settings.m_availability_zone,
-        [this](const std::string& name) { return m_links.hopeful(name); },
+        [this](const std::string& name) { return m_links.may_reach(name); },
         m_settings.m_zones);
     const auto wanted =
-        sources_wanted({m_members.size() > m_settings.m_kept_links,
-                        !m_state.m_runners.empty() && m_proxy.has_config(),
-                        elapsed(m_started, m_time.now())});
+        target_source_count({m_members.size() > m_settings.m_kept_links,
+                             !m_state.m_runners.empty() && m_proxy.has_config(),
+                             elapsed(m_started, m_time.now())});
     sources.resize(std::min(sources.size(), wanted));
     m_links.subscribe(std::move(sources));
 }
@@ -260,8 +260,8 @@
 void edge_node::choose_source()
 {
     const auto now = m_time.now();
-    const bool relayed = now - m_links.store_heard() < relay_patience;
-    const auto patience = store_patience(
+    const bool relayed = now - m_links.store_last_seen() < relay_patience;
+    const auto patience = store_read_delay(
         m_members.size() > m_settings.m_kept_links, m_turns.connected());
     if (!relayed && now - m_started < patience)
         return;
@@ -286,7 +286,7 @@
 {
     if (std::exchange(m_stopping, true))
         return;
-    LOG(INFO) << "event=stop_begun active=" << m_proxy.active();
+    LOG(INFO) << "event=stop_begun active=" << m_proxy.active_requests();
     m_proxy.begin_drain();
     m_reach.stop_relaying();
     spawn(m_io, "edge_node.drain", drain());
@@ -305,12 +305,12 @@
             // a refused connection is tried elsewhere at once.
             m_proxy.stop_accepting();
             m_proxy.close_idle();
-            if (m_proxy.active() == 0)
+            if (m_proxy.active_requests() == 0)
                 break;
         }
         co_await sleep_for(m_io, drain_check);
     }
-    LOG(INFO) << "event=stop_done active=" << m_proxy.active();
+    LOG(INFO) << "event=stop_done active=" << m_proxy.active_requests();
     m_io.stop();
 }
 
--- a/src/fleet/edge_reach.cpp
+++ b/src/fleet/edge_reach.cpp
@@ -25,12 +25,12 @@
       m_detours(io, time, settings.m_name, settings.m_availability_zone),
       m_server(io, time,
                {[&links](const std::string& member) {
-                    return links.reached_directly(member);
+                    return links.reachable_directly(member);
                 },
                 [&links](std::string member, std::uint64_t epoch,
                          frame_body body, instant until) {
-                    return links.ask_directly(std::move(member), epoch,
-                                              std::move(body), until);
+                    return links.request_directly(std::move(member), epoch,
+                                                  std::move(body), until);
                 },
                 std::move(world)})
 {}
@@ -48,8 +48,8 @@
     }
     if (!m_server.listen(at, reason))
         return false;
-    m_links.offer_relay(m_relay_address, m_availability_zone);
-    m_links.use_detours(m_detours);
+    m_links.advertise_relay(m_relay_address, m_availability_zone);
+    m_links.use_relay_client(m_detours);
     return true;
 }
 
@@ -65,7 +65,7 @@
     if (!enabled())
         return;
     m_links.tick();
-    m_detours.want_news(cut_off());
+    m_detours.set_subscribed(cut_off());
     if (m_time.now() >= m_next_ask)
         ask_neighbours();
 }
@@ -75,7 +75,7 @@
     return !m_members.empty() &&
            std::none_of(m_members.begin(), m_members.end(),
                         [this](const std::string& name) {
-                            return m_links.reached_directly(name);
+                            return m_links.reachable_directly(name);
                         });
 }
 
@@ -84,7 +84,7 @@
     for (std::size_t i = 0; i < m_members.size(); ++i)
     {
         const auto& name = m_members[m_next_member++ % m_members.size()];
-        if (!m_links.reached_directly(name))
+        if (!m_links.reachable_directly(name))
             continue;
         m_next_ask = m_time.now() + first_interval;
         m_links.call(name, 0, want_neighbours_message{},
@@ -96,7 +96,7 @@
                          if (told == nullptr || told->m_neighbours.empty())
                              return;
                          m_next_ask = m_time.now() + neighbours_interval;
-                         m_detours.follow(told->m_neighbours);
+                         m_detours.set_peers(told->m_neighbours);
                      });
         return;
     }
@@ -111,11 +111,11 @@
 {
     if (!enabled())
         return;
-    write_metric(out, "neighbours_known", m_detours.size());
-    write_metric(out, "asks_direct", m_links.asked_directly());
-    write_metric(out, "asks_relayed", m_detours.counts().m_asked);
-    write_metric(out, "asks_unanswered", m_detours.counts().m_unanswered);
-    write_metric(out, "relayed_asks", m_server.counts().m_asks);
+    write_metric(out, "neighbours_known", m_detours.peer_count());
+    write_metric(out, "asks_direct", m_links.direct_requests());
+    write_metric(out, "asks_relayed", m_detours.counts().m_requests);
+    write_metric(out, "asks_unanswered", m_detours.counts().m_failed);
+    write_metric(out, "relayed_asks", m_server.counts().m_requests);
     write_metric(out, "relayed_refused", m_server.counts().m_refused);
     write_metric(out, "relayed_bytes", m_server.counts().m_bytes);
     write_metric(out, "relayed_violations", m_server.counts().m_violations);
--- a/src/fleet/runner_list.cpp
+++ b/src/fleet/runner_list.cpp
@@ -21,7 +21,7 @@
         const auto* row = find_runner(state.m_runners, name);
         if (row != nullptr)
             newest = std::max(newest, row->m_revision);
-        if (row != nullptr && !row->m_gone)
+        if (row != nullptr && !row->m_removed)
         {
             std::string reason;
             change.m_info = decoders.m_runner(name, row->m_text, reason);
--- a/src/fleet/storage_limits.cpp
+++ b/src/fleet/storage_limits.cpp
@@ -24,7 +24,7 @@
 {
     return std::any_of(
         config.m_services.begin(), config.m_services.end(),
-        [](const auto& row) { return row.second.m_cold_per_s > 0; });
+        [](const auto& row) { return row.second.m_cold_requests_per_s > 0; });
 }
 
 } // namespace
@@ -75,10 +75,12 @@
                                m_settings.m_name);
     m_source.keep_fresh(
         {m_counts_shares && m_source.running(),
-         [this] { return m_freshness_keeper.freshness().m_config_at; },
+         [this] {
+             return m_freshness_keeper.freshness().m_config_confirmed_at;
+         },
          check_stagger * std::min<std::ptrdiff_t>(own - m_watch_order.begin(),
                                                   most_turns)});
-    m_freshness_keeper.want(m_counts_shares);
+    m_freshness_keeper.set_enabled(m_counts_shares);
 }
 
 freshness_bound storage_node::freshness() const
@@ -95,11 +97,11 @@
     if (std::holds_alternative<want_freshness_message>(question))
         reply(report_freshness(freshness(), m_server->state().m_config_revision,
                                m_time.now()));
-    else if (const auto* asked = std::get_if<quota_question>(&question))
+    else if (const auto* asked = std::get_if<quota_request>(&question))
         reply(count_request(*asked));
-    else if (const auto* place = std::get_if<place_question>(&question))
+    else if (const auto* place = std::get_if<placement_request>(&question))
         m_places.ask(asker, *place, reply);
-    else if (const auto* ended = std::get_if<place_report>(&question))
+    else if (const auto* ended = std::get_if<placement_report>(&question))
     {
         m_places.report(*ended);
         reply(appended_message{});
@@ -123,21 +125,23 @@
     return text_of(std::move(rows));
 }
 
-quota_answer storage_node::count_request(const quota_question& question)
+quota_reply storage_node::count_request(const quota_request& question)
 {
     const auto now = m_time.now();
     const auto& self = m_settings.m_name;
     const auto& history = m_owners.m_history;
     const auto workspace = question.m_workspace;
-    const auto takeover = m_staleness_limits.m_revoke;
-    const auto wanted = owners_for(question);
-    const auto left = use_left(m_staleness_limits, freshness().m_views_at, now);
+    const auto takeover = m_staleness_limits.m_max_revoke_delay;
+    const auto wanted = owner_count_for(question);
+    const auto left = remaining_use_time(m_staleness_limits,
+                                         freshness().m_views_confirmed_at, now);
     const double share =
         left ? share_of(history, self, workspace, now, takeover, wanted) : 0;
     const auto since =
         std::max(m_started, granting_since(history, self, workspace, share,
                                            takeover, wanted));
-    return m_limiter.ask(with_patience(question, left), share, since, now);
+    return m_limiter.handle(limit_queue_timeout(question, left), share, since,
+                            now);
 }
 
 } // namespace pepperturn
