--- a/src/fleet/storage_membership.cpp
+++ b/src/fleet/storage_membership.cpp
@@ -51,13 +51,13 @@
         return facts;
     for (const auto& row : view.m_members)
     {
-        const auto heard = std::max(m_started, m_links.last_heard(row.m_name));
+        const auto heard = std::max(m_started, m_links.last_seen(row.m_name));
         if (row.m_name == m_settings.m_name)
             continue;
         if (now - heard > silence_limit && now >= m_isolated_until)
-            facts.m_silent.insert(row.m_name);
+            facts.m_unresponsive.insert(row.m_name);
         if (now - heard > isolation_limit || !m_links.connected(row.m_name))
-            facts.m_unheard.insert(row.m_name);
+            facts.m_unreachable.insert(row.m_name);
     }
     return facts;
 }
@@ -104,7 +104,7 @@
                       (own - vms.begin()) * founding_step;
     if (m_time.now() < turn)
         co_return;
-    auto views = found_sets(std::move(vms), m_settings.m_disk_losses);
+    auto views = initial_views(std::move(vms), m_settings.m_disk_losses);
     const auto sets = views.size();
     const auto result = co_await m_source.found(std::move(views));
     LOG(INFO) << "event=fleet_founded sets=" << sets
@@ -153,11 +153,11 @@
     if (!view)
         co_return;
     const auto facts = gather_facts(*view);
-    auto next = wanted_view(*view, facts);
+    auto next = desired_view(*view, facts);
     const bool outdated = view->m_epoch <= m_outdated_epoch;
     if (!next || (outdated && m_time.now() < m_next_change))
         co_return;
-    next = succeed(*view, std::move(*next));
+    next = append_step(*view, std::move(*next));
     const auto result = co_await m_source.swap_view(*next, view->m_epoch);
     LOG(INFO) << "event=view_swap set=" << view->m_set
               << " epoch=" << view->m_epoch
@@ -186,8 +186,8 @@
             {positions.begin() + static_cast<std::ptrdiff_t>(begin),
              positions.begin() + static_cast<std::ptrdiff_t>(end)}};
         const auto answer =
-            co_await m_links.ask(name, m_server->own_view().m_epoch, question,
-                                 m_time.now() + copy_patience);
+            co_await m_links.request(name, m_server->own_view().m_epoch,
+                                     question, m_time.now() + copy_patience);
         const auto* entries =
             answer && answer->m_status == frame_status::ok
                 ? std::get_if<entries_message>(&answer->m_body)
@@ -212,11 +212,11 @@
     {
         const frame_body question = list_message{from, gathered};
         const auto answer =
-            co_await m_links.ask(name, m_server->own_view().m_epoch, question,
-                                 m_time.now() + copy_patience);
+            co_await m_links.request(name, m_server->own_view().m_epoch,
+                                     question, m_time.now() + copy_patience);
         if (answer && answer->m_status == frame_status::stale &&
             answer->m_epoch < epoch)
-            m_links.tell_view(name, m_server->own_view());
+            m_links.send_view(name, m_server->own_view());
         const auto* page = answer && answer->m_status == frame_status::ok
                                ? std::get_if<listed_message>(&answer->m_body)
                                : nullptr;
@@ -238,8 +238,8 @@
     if (!co_await m_server->synced())
         co_return false;
     const frame_body done = copied_message{};
-    const auto answer =
-        co_await m_links.ask(name, epoch, done, m_time.now() + copy_patience);
+    const auto answer = co_await m_links.request(name, epoch, done,
+                                                 m_time.now() + copy_patience);
     if (!answer || answer->m_status != frame_status::ok)
         co_return false;
     LOG(INFO) << "event=copied_all from=" << name << " epoch=" << epoch
@@ -276,12 +276,12 @@
     std::uint32_t count = 0;
     for (const auto& name : plan.m_any)
     {
-        if (count >= plan.m_enough)
+        if (count >= plan.m_any_needed)
             break;
         const bool done = co_await copy_once(name, view.m_epoch, false);
         count += done ? 1 : 0;
     }
-    if (count >= plan.m_enough && all_required &&
+    if (count >= plan.m_any_needed && all_required &&
         m_server->own_view().m_epoch == view.m_epoch)
     {
         m_caught_up_at = view.m_epoch;
@@ -298,7 +298,7 @@
     {
         if (row.m_name != m_settings.m_name &&
             row.m_state != member_state::lost &&
-            now - m_links.last_heard(row.m_name) > isolation_limit)
+            now - m_links.last_seen(row.m_name) > isolation_limit)
             ++unheard;
     }
     // More than may be lost at once: it is this VM that was cut off.
--- a/src/fleet/storage_node.cpp
+++ b/src/fleet/storage_node.cpp
@@ -62,7 +62,7 @@
            true}),
       m_staleness_limits{milliseconds(settings.m_revoke_ms),
                          milliseconds(settings.m_apply_ms)},
-      m_limiter({.m_spare = spare_share * settings.m_quota_slack,
+      m_limiter({.m_slack = spare_share * settings.m_quota_slack,
                  .m_excess = excess_share * settings.m_quota_excess}),
       m_places(time, settings.m_zones)
 {}
@@ -188,8 +188,7 @@
     });
     m_server->on_gone(
         [this](std::uint64_t asker) { m_places.note_gone(asker); });
-    m_links.on_greeting(
-        [this] { return m_server->state().m_runners_revision; });
+    m_links.on_hello([this] { return m_server->state().m_runners_revision; });
     m_links.on_state(
         [this](const std::string& from, const cluster_state& news) {
             take_state(news);
@@ -200,9 +199,9 @@
     m_server->load_state();
     // What is on the disk says whose the limits were until now.
     const auto& kept = m_server->state();
-    m_owners =
-        kept_knowledge(kept.m_views, kept.m_settled_epoch == newest_epoch(kept),
-                       m_started, m_staleness_limits.m_revoke);
+    m_owners = restore_knowledge(
+        kept.m_views, kept.m_settled_epoch == newest_epoch(kept), m_started,
+        m_staleness_limits.m_max_revoke_delay);
     // An entry that lapsed while every VM was down has time to come back.
     m_source.learn(m_server->state());
     if (m_settings.m_bootstrap && m_server->state().m_views.empty())
@@ -214,7 +213,7 @@
     else if (may_found() || !m_watch_order.empty())
         m_source.start();
     else
-        m_links.seek(m_settings.m_seeds);
+        m_links.connect_seeds(m_settings.m_seeds);
     load_disk();
     spawn(m_io, "storage_node.follow_config", follow_first_config());
     return true;
@@ -252,21 +251,21 @@
             heard.contains(row.m_name))
             wanted.push_back(row);
     }
-    const auto takeover = m_staleness_limits.m_revoke;
-    if (!take_views(m_owners, m_server->state().m_views, m_time.now(),
-                    takeover))
+    const auto takeover = m_staleness_limits.m_max_revoke_delay;
+    if (!apply_views(m_owners, m_server->state().m_views, m_time.now(),
+                     takeover))
         LOG(WARNING) << "event=views_missed owners=unknown for_ms="
                      << takeover.count();
     choose_news();
-    m_links.follow(wanted);
-    m_config_fetcher.follow(members);
+    m_links.set_members(wanted);
+    m_config_fetcher.set_members(members);
 }
 
 void storage_node::choose_news()
 {
     const bool silent = std::none_of(
         m_news_sources.begin(), m_news_sources.end(),
-        [this](const auto& name) { return m_links.hopeful(name); });
+        [this](const auto& name) { return m_links.may_reach(name); });
     // All that pass the news on in this zone are away: the watchers tell.
     const auto watchers = std::min(m_watch_order.size(), watch_candidates);
     m_links.subscribe(silent ? std::vector<std::string>(
@@ -297,9 +296,10 @@
         std::min(facts.m_position.value_or(m_watch_order.size()),
                  std::min(m_watch_order.size(), watch_candidates));
     for (std::size_t i = 0; i < before; ++i)
-        facts.m_fresh += m_links.watches_store(m_watch_order[i]) ? 1 : 0;
+        facts.m_fresh_watchers +=
+            m_links.watches_store(m_watch_order[i]) ? 1 : 0;
     const auto now = m_time.now();
-    if (facts.m_fresh >= least_watchers)
+    if (facts.m_fresh_watchers >= min_watchers)
         m_too_few_since.reset();
     else if (!m_too_few_since)
         m_too_few_since = now;
@@ -318,7 +318,7 @@
         return;
     LOG(INFO) << "event=watching_chosen watching=" << wanted
               << " position=" << facts.m_position.value_or(m_watch_order.size())
-              << " fresh_watchers=" << facts.m_fresh
+              << " fresh_watchers=" << facts.m_fresh_watchers
               << " too_few_for_ms=" << facts.m_too_few_for.count();
     if (wanted)
         m_source.start();
@@ -330,7 +330,7 @@
 {
     const auto own = m_source.synced() ? m_source.last_heard() : instant{};
     // Only from those that watch: what others pass on would go in circles.
-    return std::max(own, m_links.store_watched());
+    return std::max(own, m_links.store_last_watched());
 }
 
 void storage_node::tick()
@@ -345,7 +345,7 @@
     if (now >= m_next_beat)
     {
         m_next_beat = now + beat_interval;
-        m_source.note_heard_elsewhere(m_links.store_watched());
+        m_source.note_heard_elsewhere(m_links.store_last_watched());
         const auto age =
             std::chrono::duration_cast<milliseconds>(now - store_heard());
         constexpr milliseconds most{UINT32_MAX};
@@ -354,7 +354,7 @@
     if (now >= m_next_expiry)
     {
         m_next_expiry = now + expiry_interval;
-        if (is_settled(m_owners, now, m_staleness_limits.m_revoke))
+        if (is_settled(m_owners, now, m_staleness_limits.m_max_revoke_delay))
             m_server->note_settled();
         m_server->save_state();
         if (m_loaded)
--- a/src/fleet/storage_places.cpp
+++ b/src/fleet/storage_places.cpp
@@ -48,7 +48,7 @@
         {
             const auto& info = *change.m_info;
             m_outdated.insert(info.m_service);
-            m_runners[change.m_id] = {info, now + info.m_cold_left};
+            m_runners[change.m_id] = {info, now + info.m_cold_remaining};
         }
         else if (known != m_runners.end())
             m_runners.erase(known);
@@ -78,7 +78,7 @@
         services.push_back(hash64(name));
         refresh(name);
     }
-    m_places.retain(services);
+    m_places.retain_services(services);
     answer_decided();
 }
 
@@ -87,7 +87,7 @@
     if (m_outdated.erase(service) == 0)
         return;
     const auto& profile = m_engines.at(service);
-    std::vector<engine_facts> engines;
+    std::vector<engine_info> engines;
     for (const auto& [id, row] : m_runners)
     {
         const auto& info = row.m_info;
@@ -102,9 +102,9 @@
              .m_draining = info.m_draining ||
                            m_evacuated.contains(info.m_availability_zone),
              .m_cold_until = row.m_cold_until,
-             .m_cold_per_s = profile.m_cold_per_s});
+             .m_cold_per_s = profile.m_cold_requests_per_s});
     }
-    m_places.follow(hash64(service), engines, m_time.now());
+    m_places.set_engines(hash64(service), engines, m_time.now());
 }
 
 void storage_places::note_asked(std::uint64_t service)
@@ -124,7 +124,7 @@
 }
 
 void storage_places::note_asker(std::uint64_t asker,
-                                const place_question& question)
+                                const placement_request& question)
 {
     forget_call(question.m_call);
     m_open[asker][question.m_call] = question.m_service;
@@ -158,41 +158,41 @@
         m_askers.erase(call);
         m_collectors.erase(call);
         // That its caller has gone says nothing of the engine.
-        place_report ended;
+        placement_report ended;
         ended.m_service = service;
         ended.m_call = call;
-        ended.m_end = place_end::whole;
+        ended.m_end = placement_end::whole;
         m_places.report(ended, m_time.now());
     }
     answer_decided();
 }
 
-void storage_places::ask(std::uint64_t asker, const place_question& question,
+void storage_places::ask(std::uint64_t asker, const placement_request& question,
                          const turn_server::reply& reply)
 {
     note_asked(question.m_service);
     note_asker(asker, question);
-    if (question.m_collects)
+    if (question.m_already_queued)
     {
         collect(question, reply);
         return;
     }
     auto located = question;
     located.m_region = region_of(m_zones, question.m_availability_zone);
-    auto answer = m_places.ask(located, m_time.now());
+    auto answer = m_places.request_placement(located, m_time.now());
     if (!answer)
     {
         answer.emplace();
-        answer->m_outcome = place_outcome::waiting;
+        answer->m_outcome = placement_outcome::waiting;
     }
     ++m_answers.at(static_cast<std::size_t>(answer->m_outcome));
-    if (answer->m_outcome == place_outcome::no_room ||
-        answer->m_outcome == place_outcome::not_placing)
+    if (answer->m_outcome == placement_outcome::no_room ||
+        answer->m_outcome == placement_outcome::not_placing)
         forget_call(question.m_call);
     reply(*answer);
 }
 
-void storage_places::collect(const place_question& question,
+void storage_places::collect(const placement_request& question,
                              const turn_server::reply& reply)
 {
     answer_decided();
@@ -203,11 +203,11 @@
         m_decided.erase(found);
         return;
     }
-    const milliseconds patience(question.m_patience_ms);
+    const milliseconds patience(question.m_queue_timeout_ms);
     m_collectors[question.m_call] = {reply, m_time.now() + patience};
 }
 
-void storage_places::report(const place_report& report)
+void storage_places::report(const placement_report& report)
 {
     forget_call(report.m_call);
     m_places.report(report, m_time.now());
@@ -216,19 +216,19 @@
 
 void storage_places::answer_decided()
 {
-    for (const auto& row : m_places.take_decided(m_time.now()))
+    for (const auto& row : m_places.take_decisions(m_time.now()))
     {
-        ++m_answers.at(static_cast<std::size_t>(row.m_answer.m_outcome));
+        ++m_answers.at(static_cast<std::size_t>(row.m_reply.m_outcome));
         const auto found = m_collectors.find(row.m_call);
         if (found != m_collectors.end())
         {
-            found->second.m_reply(row.m_answer);
+            found->second.m_reply(row.m_reply);
             m_collectors.erase(found);
             continue;
         }
         if (m_decided.size() >= most_decided)
             m_decided.clear();
-        m_decided[row.m_call] = row.m_answer;
+        m_decided[row.m_call] = row.m_reply;
     }
 }
 
@@ -244,8 +244,8 @@
 void storage_places::write_metrics(std::string& out) const
 {
     for (const auto outcome :
-         {place_outcome::placed, place_outcome::waiting, place_outcome::no_room,
-          place_outcome::not_placing})
+         {placement_outcome::placed, placement_outcome::waiting,
+          placement_outcome::no_room, placement_outcome::not_placing})
         write_metric(out, std::string("places_") + to_string(outcome),
                      m_answers.at(static_cast<std::size_t>(outcome)));
     m_places.write_metrics(out);
--- a/src/forward/caller_connection.cpp
+++ b/src/forward/caller_connection.cpp
@@ -44,7 +44,7 @@
     return out;
 }
 
-std::string head_text(const upstream_answer& answer, bool keep_alive)
+std::string head_text(const upstream_response& answer, bool keep_alive)
 {
     const auto reason =
         http::obsolete_reason(http::int_to_status(answer.m_status));
@@ -71,9 +71,9 @@
 
 } // namespace
 
-upstream_answer own_answer(unsigned status, const std::string& text)
+upstream_response text_response(unsigned status, const std::string& text)
 {
-    upstream_answer out;
+    upstream_response out;
     out.m_status = status;
     out.m_fields.set(http::field::content_type, "text/plain");
     out.m_body = text;
@@ -84,7 +84,7 @@
                                      memory_guard& memory, tcp::socket socket)
     : m_time(time), m_memory(memory), m_stream(std::move(socket)),
       m_read_timer(io), m_write_timer(io),
-      m_held(std::make_shared<held_account>(memory.book()))
+      m_buffered(std::make_shared<buffer_account>(memory.budget()))
 {
     tune_socket(m_stream.socket(), caller_silence);
     // Writes try at once and wait only where the caller does not read.
@@ -95,14 +95,14 @@
 task<read_result> caller_connection::read_request(caller_limits limits)
 {
     m_idle = m_buffer.size() == 0;
-    m_held = std::make_shared<held_account>(m_memory.book());
-    m_write_until.reset();
+    m_buffered = std::make_shared<buffer_account>(m_memory.budget());
+    m_write_deadline.reset();
     m_streaming = false;
     std::size_t searched = 0;
     std::size_t head_bytes = 0;
     // Not the stream's own expiry, which closes the socket: a slow caller is
     // told why.
-    limit_read(m_idle ? limits.m_idle_timeout : limits.m_header_timeout);
+    set_read_timeout(m_idle ? limits.m_idle_timeout : limits.m_header_timeout);
     while (true)
     {
         const auto text = view_of(m_buffer);
@@ -120,15 +120,15 @@
         error_code ec;
         const auto count = co_await m_stream.async_read_some(
             m_buffer.prepare(read_bytes), into(ec));
-        if (ec && m_read_late && !m_idle)
+        if (ec && m_read_timed_out && !m_idle)
             co_return refusal(408, "head took too long");
         if (ec)
             co_return read_result{};
         m_buffer.commit(count);
         if (std::exchange(m_idle, false))
-            limit_read(limits.m_header_timeout);
+            set_read_timeout(limits.m_header_timeout);
     }
-    limit_read(body_patience);
+    set_read_timeout(body_patience);
     if (head_bytes > limits.m_max_header_bytes)
         co_return refusal(431, "head is too long");
     if (const auto* fault =
@@ -145,14 +145,14 @@
                           ec.message());
     const auto no_memory = [&parser] {
         auto out = refusal(503, "no memory for its body");
-        out.m_come_back = come_back_later;
+        out.m_retry_after = retry_after_no_reply;
         out.m_request.base() = parser.get().base();
         return out;
     };
     const auto length = parser.content_length();
     // All of a body is held for before any of it comes.
     if (!m_memory.may_read_body(length.value_or(0)) ||
-        !m_held->set(held_kind::request, length.value_or(0)))
+        !m_buffered->set(buffer_kind::request, length.value_or(0)))
         co_return no_memory();
     if (parser.get()[http::field::expect] == "100-continue")
     {
@@ -165,8 +165,8 @@
     {
         const auto most = m_buffer.size() +
                           boost::beast::read_size(m_buffer, most_read_bytes);
-        if (!length &&
-            !m_held->set(held_kind::request, parser.get().body().size() + most))
+        if (!length && !m_buffered->set(buffer_kind::request,
+                                        parser.get().body().size() + most))
             co_return no_memory();
         co_await http::async_read_some(m_stream, m_buffer, parser, into(ec));
         const auto size = parser.get().body().size();
@@ -178,7 +178,7 @@
     }
     if (ec == http::error::body_limit)
         co_return refusal(413, "body is too long");
-    if (ec && m_read_late)
+    if (ec && m_read_timed_out)
         co_return refusal(408, "body took too long");
     if (ec &&
         ec.category() ==
@@ -192,30 +192,30 @@
     out.m_outcome = read_outcome::request;
     out.m_request = parser.release();
     // Less than was asked for above is never refused.
-    (void)m_held->set(held_kind::request, out.m_request.body().size());
+    (void)m_buffered->set(buffer_kind::request, out.m_request.body().size());
     co_return out;
 }
 
-void caller_connection::limit_read(milliseconds span)
+void caller_connection::set_read_timeout(milliseconds span)
 {
-    m_read_late = false;
+    m_read_timed_out = false;
     m_read_timer.expires_after(span);
     m_read_timer.async_wait([weak = weak_from_this()](error_code ec) {
         const auto self = weak.lock();
         if (ec || !self)
             return;
-        self->m_read_late = true;
+        self->m_read_timed_out = true;
         error_code ignored;
         self->m_stream.socket().cancel(ignored);
     });
 }
 
-task<> caller_connection::discard_rest()
+task<> caller_connection::discard_rest_of_request()
 {
     error_code ec;
     m_stream.socket().shutdown(tcp::socket::shutdown_send, ec);
     m_buffer.clear();
-    limit_read(discard_patience);
+    set_read_timeout(discard_patience);
     std::array<char, read_bytes> chunk;
     while (!ec)
         co_await m_stream.async_read_some(asio::buffer(chunk), into(ec));
@@ -231,18 +231,21 @@
     bool waits = false;
     // What the caller may leave unread: its copies here and in the kernel.
     const auto room =
-        charged + std::min<std::size_t>(send_bytes, head.size() + body.size());
-    m_found_room = m_memory.book()->fits(held_kind::unread, room);
-    if (!m_found_room)
-        m_found_room = co_await m_memory.wait_to_deliver(room, write_end());
-    if (!m_found_room)
+        charged +
+        std::min<std::size_t>(send_buffer_bytes, head.size() + body.size());
+    m_memory_available =
+        m_memory.budget()->fits(buffer_kind::undelivered, room);
+    if (!m_memory_available)
+        m_memory_available = co_await m_memory.wait_for_delivery_capacity(
+            room, write_deadline());
+    if (!m_memory_available)
     {
-        LOG(INFO) << "event=answer_undelivered held=" << m_held->total()
-                  << " asked=" << room
-                  << " cause=no_room held_by_all=" << m_memory.book()->total();
-        cut();
+        LOG(INFO) << "event=answer_undelivered held=" << m_buffered->total()
+                  << " asked=" << room << " cause=no_room held_by_all="
+                  << m_memory.budget()->total();
+        abort_connection();
     }
-    while (!ec && !m_cut_unread && head.size() + body.size() > 0)
+    while (!ec && !m_write_aborted && head.size() + body.size() > 0)
     {
         const std::array<asio::const_buffer, 2> rest{
             asio::buffer(head.data(), head.size()),
@@ -251,7 +254,7 @@
         if (ec == asio::error::would_block)
         {
             if (!std::exchange(waits, true))
-                begin_wait(charged, room);
+                begin_write_wait(charged, room);
             co_await socket.async_wait(tcp::socket::wait_write, into(ec));
             continue;
         }
@@ -259,64 +262,64 @@
         head.remove_prefix(of_head);
         body.remove_prefix(count - of_head);
         if (waits)
-            m_held->note_taken(count, m_time.now());
+            m_buffered->record_read(count, m_time.now());
     }
     if (waits)
-        end_wait();
-    co_return !ec && !m_cut_unread;
+        end_write_wait();
+    co_return !ec && !m_write_aborted;
 }
 
-instant caller_connection::write_end() const
+instant caller_connection::write_deadline() const
 {
-    return m_write_until.value_or(m_time.now() + write_patience);
+    return m_write_deadline.value_or(m_time.now() + write_patience);
 }
 
-void caller_connection::begin_wait(std::size_t charged, std::size_t room)
+void caller_connection::begin_write_wait(std::size_t charged, std::size_t room)
 {
     // The kernel is full, if need be with answers of before; those were not
     // asked room for, and count as far as there is any.
-    if (!m_held->set(held_kind::unread, charged + send_bytes))
-        (void)m_held->set(held_kind::unread, room);
+    if (!m_buffered->set(buffer_kind::undelivered, charged + send_buffer_bytes))
+        (void)m_buffered->set(buffer_kind::undelivered, room);
     if (m_streaming)
-        m_held->hold_reserved(held_kind::incoming);
-    m_held->begin_wait(m_time.now(), [weak = weak_from_this()] {
+        m_buffered->use_reservation(buffer_kind::receive_buffer);
+    m_buffered->begin_reader_wait(m_time.now(), [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->cut();
+            self->abort_connection();
     });
-    m_write_timer.expires_at(write_end());
+    m_write_timer.expires_at(write_deadline());
     m_write_timer.async_wait([weak = weak_from_this(),
-                              held = m_held](error_code ec) {
+                              held = m_buffered](error_code ec) {
         const auto self = weak.lock();
-        if (ec || !self || !held->waits())
+        if (ec || !self || !held->waits_for_reader())
             return;
         const auto unread = held->unread(self->m_time.now());
-        LOG(INFO) << "event=reader_cut held=" << unread.m_held
-                  << " taken=" << unread.m_taken
+        LOG(INFO) << "event=reader_cut held=" << unread.m_buffered
+                  << " taken=" << unread.m_consumed
                   << " waited_ms=" << unread.m_waited.count() << " cause=time";
-        held->cut();
+        held->disconnect();
     });
 }
 
-void caller_connection::end_wait()
+void caller_connection::end_write_wait()
 {
     m_write_timer.cancel();
-    m_held->end_wait(m_time.now());
-    m_held->give_back(held_kind::unread, UINT64_MAX);
+    m_buffered->end_reader_wait(m_time.now());
+    m_buffered->release(buffer_kind::undelivered, UINT64_MAX);
     if (m_streaming)
-        m_held->give_back(held_kind::incoming, UINT64_MAX);
+        m_buffered->release(buffer_kind::receive_buffer, UINT64_MAX);
 }
 
-void caller_connection::cut()
+void caller_connection::abort_connection()
 {
-    m_cut_unread = true;
+    m_write_aborted = true;
     // Closed in the usual way, the kernel would keep what is unread.
     error_code ignored;
     m_stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     m_stream.close();
 }
 
-task<bool> caller_connection::write_answer(const upstream_answer& answer,
-                                           bool keep_alive)
+task<bool> caller_connection::write_response(const upstream_response& answer,
+                                             bool keep_alive)
 {
     std::string text = head_text(answer, keep_alive);
     constexpr unsigned no_content = 204;
@@ -329,7 +332,7 @@
     co_return co_await write_all(text, answer.m_body, text.size());
 }
 
-task<bool> caller_connection::begin_stream(const upstream_answer& head,
+task<bool> caller_connection::begin_stream(const upstream_response& head,
                                            bool keep_alive)
 {
     m_streaming = true;
@@ -338,7 +341,7 @@
     co_return co_await write_all(text, {}, text.size());
 }
 
-task<bool> caller_connection::write_piece(std::string_view bytes)
+task<bool> caller_connection::write_chunk(std::string_view bytes)
 {
     constexpr std::size_t most_digits = 16;
     std::array<char, most_digits + 3> size{};
@@ -355,13 +358,14 @@
     co_return co_await write_all("0\r\n\r\n", {}, 0);
 }
 
-void caller_connection::watch(const std::shared_ptr<abort_switch>& aborter)
+void caller_connection::watch_for_close(
+    const std::shared_ptr<abort_signal>& aborter)
 {
-    const auto watch = ++m_watch;
+    const auto watch = ++m_watch_generation;
     m_stream.socket().async_wait(
         tcp::socket::wait_read,
         [self = shared_from_this(), aborter, watch](error_code ec) {
-            if (ec || self->m_watch != watch)
+            if (ec || self->m_watch_generation != watch)
                 return;
             char byte = 0;
             const auto count = recv(self->m_stream.socket().native_handle(),
@@ -370,13 +374,13 @@
             const bool gone = count == 0 || (count < 0 && errno != EAGAIN &&
                                              errno != EWOULDBLOCK);
             if (gone)
-                aborter->pull(abort_cause::caller_left);
+                aborter->abort(abort_cause::caller_left);
         });
 }
 
 void caller_connection::stop_watching()
 {
-    ++m_watch;
+    ++m_watch_generation;
     error_code ignored;
     m_stream.socket().cancel(ignored);
 }
--- a/src/forward/engine_gate.cpp
+++ b/src/forward/engine_gate.cpp
@@ -5,72 +5,74 @@
 
 namespace pepperturn {
 
-engine_gate::engine_gate(asio::io_context& io, const clock& time)
+admission_queue::admission_queue(asio::io_context& io, const clock& time)
     : m_io(io), m_time(time)
 {}
 
-bool engine_gate::has_room() const
+bool admission_queue::has_capacity() const
 {
-    return m_under_way < m_limit.m_limit;
+    return m_in_flight < m_limit.m_limit;
 }
 
-task<gate_result> engine_gate::enter(call_rank rank, milliseconds patience)
+task<admission_result> admission_queue::acquire(call_rank rank,
+                                                milliseconds patience)
 {
-    if (m_line.empty() && has_room())
+    if (m_queue.empty() && has_capacity())
     {
-        ++m_under_way;
-        co_return gate_result{true};
+        ++m_in_flight;
+        co_return admission_result{true};
     }
-    const waiting_call call{rank, ++m_number};
+    const waiting_call call{rank, ++m_last_sequence};
     const auto ahead = static_cast<std::size_t>(
-        std::count_if(m_line.begin(), m_line.end(), [&](const auto& other) {
-            return goes_before(other->m_call, call);
+        std::count_if(m_queue.begin(), m_queue.end(), [&](const auto& other) {
+            return precedes(other->m_call, call);
         }));
-    gate_result out;
-    out.m_expected = expected_wait(m_drains[rank], ahead, m_time.now());
-    if (out.m_expected > patience)
+    admission_result out;
+    out.m_expected_wait =
+        expected_wait(m_drain_rates[rank], ahead, m_time.now());
+    if (out.m_expected_wait > patience)
         co_return out;
     const auto until = m_time.now() + patience;
     const auto self = std::make_shared<waiter>(m_io, call);
-    m_line.push_back(self);
+    m_queue.push_back(self);
     admit_waiting();
     while (!self->m_admitted && m_time.now() < until)
         co_await self->m_changed.wait_until(until);
     out.m_admitted = self->m_admitted;
     if (!out.m_admitted)
-        std::erase(m_line, self);
+        std::erase(m_queue, self);
     co_return out;
 }
 
-void engine_gate::leave()
+void admission_queue::release()
 {
-    --m_under_way;
+    --m_in_flight;
     admit_waiting();
 }
 
-void engine_gate::note_call(const std::string& route, milliseconds wait,
-                            milliseconds run)
+void admission_queue::record_call(const std::string& route, milliseconds wait,
+                                  milliseconds run)
 {
-    auto& pace = m_paces[route];
+    auto& pace = m_route_stats[route];
     pace = add_call(pace, static_cast<double>(wait.count()),
                     static_cast<double>(run.count()));
-    m_limit = adjust_limit(m_limit, pace, m_under_way);
+    m_limit = adjust_limit(m_limit, pace, m_in_flight);
     admit_waiting();
 }
 
-void engine_gate::admit_waiting()
+void admission_queue::admit_waiting()
 {
-    while (!m_line.empty() && has_room())
+    while (!m_queue.empty() && has_capacity())
     {
-        const auto next = std::min_element(
-            m_line.begin(), m_line.end(),
-            [](const auto& left, const auto& right) {
-                return goes_before(left->m_call, right->m_call);
-            });
+        const auto next =
+            std::min_element(m_queue.begin(), m_queue.end(),
+                             [](const auto& left, const auto& right) {
+                                 return precedes(left->m_call, right->m_call);
+                             });
         const auto admitted = *next;
-        m_line.erase(next);
-        ++m_under_way;
-        auto& drain = m_drains[admitted->m_call.m_rank];
+        m_queue.erase(next);
+        ++m_in_flight;
+        auto& drain = m_drain_rates[admitted->m_call.m_rank];
         drain = add_admission(drain, m_time.now());
         admitted->m_admitted = true;
         admitted->m_changed.notify();
--- a/src/forward/event_reader.cpp
+++ b/src/forward/event_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace pepperturn {
 
-void event_reader::take(std::string_view bytes)
+void event_reader::consume(std::string_view bytes)
 {
     for (const char c : bytes)
     {
@@ -28,7 +28,7 @@
             ++m_events;
         if (m_event_id)
             m_last_id = std::exchange(m_event_id, std::nullopt);
-        if (m_has_data && m_keep_data)
+        if (m_has_data && m_collect_data)
         {
             m_data += m_event_data;
             m_data += '\n';
--- a/src/forward/exchange.cpp
+++ b/src/forward/exchange.cpp
@@ -42,7 +42,7 @@
     std::string_view m_late_body;
     /// Keeps the body.
     std::shared_ptr<const void> m_owner;
-    std::shared_ptr<held_account> m_held;
+    std::shared_ptr<buffer_account> m_held;
     bool m_written = false;
     bool m_answered = false;
     /// Given up because the runner did not take the request.
@@ -103,8 +103,8 @@
                                into(ec));
     timer.cancel();
     if (state->m_held)
-        state->m_held->give_back(held_kind::late_body,
-                                 upstream_pool::send_bytes);
+        state->m_held->release(buffer_kind::unsent_body,
+                               upstream_pool::send_buffer_bytes);
     state->m_owner.reset();
     state->m_held.reset();
     state->m_written = !ec;
@@ -113,22 +113,24 @@
 /// Reserves room for a first piece of an answer, and for what the kernel has
 /// of it while it is not read on; holds what the kernel keeps of a long body.
 /// \returns false if there is no room
-bool reserve_room(held_account& held, std::size_t body_bytes)
+bool reserve_room(buffer_account& held, std::size_t body_bytes)
 {
     const bool late = body_bytes > inline_write_bytes;
-    if (!held.reserve(held_kind::incoming, upstream_pool::receive_bytes))
+    if (!held.reserve(buffer_kind::receive_buffer,
+                      upstream_pool::receive_buffer_bytes))
         return false;
-    if (!held.reserve_more(held_kind::answer, read_bytes))
+    if (!held.reserve_more(buffer_kind::response, read_bytes))
         return false;
-    return !late || held.add(held_kind::late_body, upstream_pool::send_bytes);
+    return !late ||
+           held.add(buffer_kind::unsent_body, upstream_pool::send_buffer_bytes);
 }
 
 /// Gives back what an attempt reserved and did not use.
-void end_reserve(held_account& held)
+void end_reserve(buffer_account& held)
 {
-    held.end_reserve(held_kind::incoming);
-    held.end_reserve(held_kind::answer);
-    held.end_gathering();
+    held.end_reservation(buffer_kind::receive_buffer);
+    held.end_reservation(buffer_kind::response);
+    held.clear_blocked();
 }
 
 /// Sends the request; large bodies go on being sent after the return.
@@ -279,7 +281,7 @@
     return "unknown";
 }
 
-void abort_switch::pull(abort_cause cause)
+void abort_signal::abort(abort_cause cause)
 {
     if (m_cause != abort_cause::none)
         return;
@@ -288,7 +290,7 @@
         action();
 }
 
-void abort_switch::on_pull(std::function<void()> action)
+void abort_signal::on_abort(std::function<void()> action)
 {
     m_action = std::move(action);
 }
@@ -297,7 +299,7 @@
                                  upstream_pool& pool, runner_table& runners,
                                  const wire_names& names, runner_info runner,
                                  attempt_request request, stream_sink sink,
-                                 std::shared_ptr<abort_switch> aborter)
+                                 std::shared_ptr<abort_signal> aborter)
 {
     attempt_result result;
     const auto state = std::make_shared<attempt_state>();
@@ -315,7 +317,7 @@
         // Nothing was sent, so nothing can have run.
         result.m_outcome = attempt_outcome::not_run;
         result.m_reason = "connect: " + result.m_reason;
-        runners.note_failure(runner.m_id, time.now());
+        runners.record_failure(runner.m_id, time.now());
         co_return result;
     }
     auto& connection = *state->m_connection;
@@ -328,34 +330,36 @@
         pool.put_back(runner.m_id, state->m_connection, keep_margin);
         co_return result;
     }
-    if (request.m_held && !reserve_room(*request.m_held, request.m_body.size()))
+    if (request.m_buffered &&
+        !reserve_room(*request.m_buffered, request.m_body.size()))
     {
-        end_reserve(*request.m_held);
+        end_reserve(*request.m_buffered);
         result.m_outcome = attempt_outcome::not_run;
-        result.m_no_memory = true;
+        result.m_out_of_memory = true;
         result.m_reason = "no memory for its answer";
         pool.put_back(runner.m_id, state->m_connection, keep_margin);
         co_return result;
     }
-    aborter->on_pull([kept = state->m_connection] { kept->m_stream.close(); });
+    aborter->on_abort([kept = state->m_connection] { kept->m_stream.close(); });
     const auto sent_at = time.now();
     const auto left = std::max(
         milliseconds(1),
         std::chrono::duration_cast<milliseconds>(request.m_deadline - sent_at));
-    state->m_head = upstream_head(
-        request.m_request,
-        {runner.m_id, left, request.m_body.size(), request.m_urgency,
-         request.m_last_event, request.m_withholds_key, request.m_workspace},
-        names);
-    runners.note_sent(runner.m_id);
-    state->m_owner = request.m_owner;
-    state->m_held = request.m_held;
+    state->m_head =
+        upstream_head(request.m_request,
+                      {runner.m_id, left, request.m_body.size(),
+                       request.m_urgency, request.m_last_event,
+                       request.m_strip_credentials, request.m_workspace},
+                      names);
+    runners.record_request_start(runner.m_id);
+    state->m_owner = request.m_body_owner;
+    state->m_held = request.m_buffered;
     (void)co_await send_request(io, state, request.m_body, left);
 
-    if (request.m_first_patience)
-        connection.m_stream.expires_after(*request.m_first_patience);
-    else if (request.m_give_up_at)
-        connection.m_stream.expires_at(*request.m_give_up_at);
+    if (request.m_first_byte_timeout)
+        connection.m_stream.expires_after(*request.m_first_byte_timeout);
+    else if (request.m_attempt_deadline)
+        connection.m_stream.expires_at(*request.m_attempt_deadline);
     answer_parser parser;
     parser.header_limit(max_answer_head_bytes);
     // Bounded where it is gathered; a stream has no bound.
@@ -365,14 +369,14 @@
                                      parser, into(ec));
     const char* fault = nullptr;
     state->m_answered = !ec;
-    result.m_late = ec == boost::beast::error::timeout;
-    if (request.m_first_patience && request.m_give_up_at)
-        connection.m_stream.expires_at(*request.m_give_up_at);
+    result.m_first_byte_timed_out = ec == boost::beast::error::timeout;
+    if (request.m_first_byte_timeout && request.m_attempt_deadline)
+        connection.m_stream.expires_at(*request.m_attempt_deadline);
     if (!ec)
     {
         result.m_first_byte = elapsed(sent_at, time.now());
-        runners.note_first_byte(runner.m_id, request.m_route,
-                                *result.m_first_byte);
+        runners.record_first_byte(runner.m_id, request.m_route,
+                                  *result.m_first_byte);
         fault = find_fault(parser.get().base(), names, request.m_request_id);
     }
     const bool head_good = !ec && fault == nullptr;
@@ -380,32 +384,33 @@
     if (head_good)
     {
         const auto& head = parser.get();
-        result.m_answer.m_status = head.result_int();
-        result.m_answer.m_fields = head.base();
+        result.m_response.m_status = head.result_int();
+        result.m_response.m_fields = head.base();
         const bool stream =
-            request.m_streaming && result.m_answer.m_status == 200;
+            request.m_streaming && result.m_response.m_status == 200;
         body_sink gathered;
         gathered.m_take = [&](std::string_view bytes) -> task<bool> {
-            result.m_answer.m_body += bytes;
+            result.m_response.m_body += bytes;
             // Within what was reserved for it.
-            if (request.m_held)
-                (void)request.m_held->add(held_kind::answer, bytes.size());
-            co_return result.m_answer.m_body.size() <= max_answer_bytes;
+            if (request.m_buffered)
+                (void)request.m_buffered->add(buffer_kind::response,
+                                              bytes.size());
+            co_return result.m_response.m_body.size() <= max_answer_bytes;
         };
         gathered.m_room = [&]() -> task<bool> {
-            if (!request.m_room)
+            if (!request.m_wait_for_memory)
                 co_return true;
-            co_return co_await request.m_room(read_bytes);
+            co_return co_await request.m_wait_for_memory(read_bytes);
         };
         if (stream)
         {
             result.m_streamed = true;
             gathered = {sink.m_data, {}};
-            if (!co_await sink.m_begin(result.m_answer))
+            if (!co_await sink.m_begin(result.m_response))
                 body.m_caller_gone = true;
         }
         if (!body.m_caller_gone)
-            body = co_await read_body(state, parser, request.m_gap_patience,
+            body = co_await read_body(state, parser, request.m_gap_timeout,
                                       gathered);
         if (!stream && std::exchange(body.m_caller_gone, false))
         {
@@ -413,10 +418,10 @@
             body.m_reason = "longer than any answer may be";
         }
     }
-    if (request.m_held)
-        end_reserve(*request.m_held);
-    aborter->on_pull(nullptr);
-    runners.note_ended(runner.m_id);
+    if (request.m_buffered)
+        end_reserve(*request.m_buffered);
+    aborter->on_abort(nullptr);
+    runners.record_request_end(runner.m_id);
     const bool surplus = connection.m_buffer.size() > 0;
     const bool reusable = body.m_whole && state->m_written && !surplus &&
                           parser.get().keep_alive() && !parser.get().need_eof();
@@ -429,20 +434,20 @@
     if (aborter->cause() != abort_cause::none || body.m_caller_gone)
     {
         if (aborter->cause() == abort_cause::none)
-            aborter->pull(abort_cause::caller_left);
+            aborter->abort(abort_cause::caller_left);
         if (!head_good && time.now() - sent_at >= telling_silence)
         {
-            runners.note_result(runner.m_id, false, time.now());
+            runners.record_result(runner.m_id, false, time.now());
             // Engines are silent while they read long prompts.
             if (aborter->cause() == abort_cause::timeout &&
                 !request.m_streaming)
-                runners.note_failure(runner.m_id, time.now());
+                runners.record_failure(runner.m_id, time.now());
         }
         result.m_outcome = attempt_outcome::aborted;
         result.m_reason = to_string(aborter->cause());
         co_return result;
     }
-    const unsigned status = result.m_answer.m_status;
+    const unsigned status = result.m_response.m_status;
     const bool refused =
         head_good &&
         (status == 421 || !field(parser.get().base(), names.m_not_run).empty());
@@ -451,12 +456,12 @@
         result.m_outcome = attempt_outcome::not_run;
         result.m_reason = "refused " + std::to_string(status);
         result.m_retry_after = retry_after(parser.get().base());
-        runners.note_full(runner.m_id, time.now());
+        runners.record_full(runner.m_id, time.now());
         co_return result;
     }
     const bool good =
         body.m_no_room || (body.m_whole && status < first_server_error);
-    runners.note_result(runner.m_id, good, time.now());
+    runners.record_result(runner.m_id, good, time.now());
     if (body.m_whole)
     {
         // A promise that the runner did not sign as one is not passed on.
@@ -470,7 +475,7 @@
                       : ec               ? "head: " + ec.message()
                                          : "body: " + body.m_reason;
     if (!body.m_no_room)
-        runners.note_failure(runner.m_id, time.now());
+        runners.record_failure(runner.m_id, time.now());
     co_return result;
 }
 
--- a/src/forward/held_bytes.cpp
+++ b/src/forward/held_bytes.cpp
@@ -9,59 +9,59 @@
 
 namespace {
 
-std::size_t index_of(held_kind kind)
+std::size_t index_of(buffer_kind kind)
 {
     return static_cast<std::size_t>(kind);
 }
 
 } // namespace
 
-const char* to_string(held_kind kind)
+const char* to_string(buffer_kind kind)
 {
     switch (kind)
     {
-    case held_kind::request:
+    case buffer_kind::request:
         return "request";
-    case held_kind::chain:
+    case buffer_kind::history:
         return "chain";
-    case held_kind::late_body:
+    case buffer_kind::unsent_body:
         return "late_body";
-    case held_kind::answer:
+    case buffer_kind::response:
         return "answer";
-    case held_kind::incoming:
+    case buffer_kind::receive_buffer:
         return "incoming";
-    case held_kind::unread:
+    case buffer_kind::undelivered:
         return "unread";
     }
     return "unknown";
 }
 
-void held_book::set_bound(std::uint64_t bound)
+void buffer_budget::set_bound(std::uint64_t bound)
 {
     m_bound = bound;
-    adjust_level();
+    update_level();
 }
 
-std::uint64_t held_book::of_workspace(const std::string& name) const
+std::uint64_t buffer_budget::workspace_bytes(const std::string& name) const
 {
     const auto found = m_by_workspace.find(name);
     return found == m_by_workspace.end() ? 0 : found->second;
 }
 
-std::uint64_t held_book::of_kind(held_kind kind) const
+std::uint64_t buffer_budget::kind_bytes(buffer_kind kind) const
 {
     return m_by_kind.at(index_of(kind));
 }
 
-bool held_book::fits(held_kind kind, std::uint64_t bytes) const
+bool buffer_budget::fits(buffer_kind kind, std::uint64_t bytes) const
 {
-    const auto use =
-        kind == held_kind::unread ? room_use::delivery : room_use::work;
-    return m_committed + bytes <= room_limit(use, m_bound);
+    const auto use = kind == buffer_kind::undelivered ? memory_use::delivery
+                                                      : memory_use::work;
+    return m_committed + bytes <= reservation_limit(use, m_bound);
 }
 
-bool held_book::commit(held_kind kind, std::uint64_t before,
-                       std::uint64_t after)
+bool buffer_budget::commit(buffer_kind kind, std::uint64_t before,
+                           std::uint64_t after)
 {
     if (after > before && !fits(kind, after - before))
     {
@@ -73,20 +73,20 @@
     return true;
 }
 
-void held_book::change(held_kind kind, const std::string& workspace,
-                       std::uint64_t before, std::uint64_t after)
+void buffer_budget::change(buffer_kind kind, const std::string& workspace,
+                           std::uint64_t before, std::uint64_t after)
 {
     if (before == after)
         return;
     m_total += after - before;
     m_by_kind.at(index_of(kind)) += after - before;
     count_workspace(workspace, before, after);
-    m_most = std::max(m_most, m_total);
-    adjust_level();
+    m_peak = std::max(m_peak, m_total);
+    update_level();
 }
 
-void held_book::count_workspace(const std::string& name, std::uint64_t before,
-                                std::uint64_t after)
+void buffer_budget::count_workspace(const std::string& name,
+                                    std::uint64_t before, std::uint64_t after)
 {
     const auto row = m_by_workspace.try_emplace(name, 0).first;
     row->second += after - before;
@@ -94,7 +94,7 @@
         m_by_workspace.erase(row);
 }
 
-void held_book::adjust_level()
+void buffer_budget::update_level()
 {
     const auto level = next_level(m_level, m_total, m_bound);
     if (level == m_level)
@@ -104,146 +104,147 @@
         m_on_level(level);
 }
 
-held_account::held_account(std::shared_ptr<held_book> book)
-    : m_book(std::move(book)), m_number(++m_book->m_last_number)
+buffer_account::buffer_account(std::shared_ptr<buffer_budget> book)
+    : m_budget(std::move(book)), m_sequence(++m_budget->m_last_sequence)
 {}
 
-held_account::~held_account()
+buffer_account::~buffer_account()
 {
-    m_book->m_waiting.erase(this);
-    end_gathering();
-    for (std::size_t i = 0; i < held_kinds; ++i)
+    m_budget->m_waiting_accounts.erase(this);
+    clear_blocked();
+    for (std::size_t i = 0; i < buffer_kind_count; ++i)
     {
-        const auto kind = static_cast<held_kind>(i);
-        end_reserve(kind);
-        give_back(kind, m_held.at(i));
+        const auto kind = static_cast<buffer_kind>(i);
+        end_reservation(kind);
+        release(kind, m_buffered.at(i));
     }
 }
 
-std::uint64_t held_account::committed(held_kind kind) const
+std::uint64_t buffer_account::committed(buffer_kind kind) const
 {
     const auto index = index_of(kind);
-    return std::max(m_held.at(index), m_reserved.at(index));
+    return std::max(m_buffered.at(index), m_reserved.at(index));
 }
 
-void held_account::hold(held_kind kind, std::uint64_t bytes)
+void buffer_account::set_buffered(buffer_kind kind, std::uint64_t bytes)
 {
-    const auto before = std::exchange(m_held.at(index_of(kind)), bytes);
-    m_book->change(kind, m_workspace, before, bytes);
+    const auto before = std::exchange(m_buffered.at(index_of(kind)), bytes);
+    m_budget->change(kind, m_workspace, before, bytes);
 }
 
-bool held_account::reserve(held_kind kind, std::uint64_t bytes)
+bool buffer_account::reserve(buffer_kind kind, std::uint64_t bytes)
 {
     const auto index = index_of(kind);
-    const auto after = std::max(m_held.at(index), bytes);
-    if (!m_book->commit(kind, committed(kind), after))
+    const auto after = std::max(m_buffered.at(index), bytes);
+    if (!m_budget->commit(kind, committed(kind), after))
         return false;
     m_reserved.at(index) = bytes;
     return true;
 }
 
-bool held_account::reserve_more(held_kind kind, std::uint64_t bytes)
+bool buffer_account::reserve_more(buffer_kind kind, std::uint64_t bytes)
 {
-    return reserve(kind, m_held.at(index_of(kind)) + bytes);
+    return reserve(kind, m_buffered.at(index_of(kind)) + bytes);
 }
 
-bool held_account::set(held_kind kind, std::uint64_t bytes)
+bool buffer_account::set(buffer_kind kind, std::uint64_t bytes)
 {
     const auto after = std::max(bytes, m_reserved.at(index_of(kind)));
-    if (!m_book->commit(kind, committed(kind), after))
+    if (!m_budget->commit(kind, committed(kind), after))
         return false;
-    hold(kind, bytes);
+    set_buffered(kind, bytes);
     return true;
 }
 
-bool held_account::add(held_kind kind, std::uint64_t bytes)
+bool buffer_account::add(buffer_kind kind, std::uint64_t bytes)
 {
-    return set(kind, m_held.at(index_of(kind)) + bytes);
+    return set(kind, m_buffered.at(index_of(kind)) + bytes);
 }
 
-void held_account::hold_reserved(held_kind kind)
+void buffer_account::use_reservation(buffer_kind kind)
 {
-    hold(kind, committed(kind));
+    set_buffered(kind, committed(kind));
 }
 
-void held_account::give_back(held_kind kind, std::uint64_t bytes)
+void buffer_account::release(buffer_kind kind, std::uint64_t bytes)
 {
-    const auto held = m_held.at(index_of(kind));
+    const auto held = m_buffered.at(index_of(kind));
     // Less is never refused.
     (void)set(kind, held - std::min(held, bytes));
 }
 
-void held_account::end_reserve(held_kind kind)
+void buffer_account::end_reservation(buffer_kind kind)
 {
     // Less is never refused.
     (void)reserve(kind, 0);
 }
 
-void held_account::set_workspace(const std::string& name)
+void buffer_account::set_workspace(const std::string& name)
 {
     if (name == m_workspace)
         return;
-    m_book->count_workspace(m_workspace, total(), 0);
+    m_budget->count_workspace(m_workspace, total(), 0);
     m_workspace = name;
-    m_book->count_workspace(m_workspace, 0, total());
+    m_budget->count_workspace(m_workspace, 0, total());
 }
 
-std::uint64_t held_account::total() const
+std::uint64_t buffer_account::total() const
 {
-    return std::accumulate(m_held.begin(), m_held.end(), std::uint64_t{0});
+    return std::accumulate(m_buffered.begin(), m_buffered.end(),
+                           std::uint64_t{0});
 }
 
-void held_account::begin_gathering()
+void buffer_account::mark_blocked()
 {
-    m_book->m_gathering.emplace(m_number, this);
+    m_budget->m_blocked.emplace(m_sequence, this);
 }
 
-void held_account::end_gathering()
+void buffer_account::clear_blocked()
 {
-    m_book->m_gathering.erase(m_number);
+    m_budget->m_blocked.erase(m_sequence);
 }
 
-void held_account::begin_wait(instant now, std::function<void()> cut)
+void buffer_account::begin_reader_wait(instant now, std::function<void()> cut)
 {
-    m_since = now;
-    m_last_taken = now;
-    m_taken = 0;
+    m_wait_start = now;
+    m_last_read = now;
+    m_read_bytes = 0;
     m_was_slow = false;
-    m_cut = std::move(cut);
-    m_book->m_waiting.insert(this);
+    m_disconnect = std::move(cut);
+    m_budget->m_waiting_accounts.insert(this);
 }
 
-void held_account::note_taken(std::uint64_t bytes, instant now)
+void buffer_account::record_read(std::uint64_t bytes, instant now)
 {
     if (is_slow_reader(unread(now)))
         m_was_slow = true;
-    m_taken += bytes;
-    m_last_taken = now;
+    m_read_bytes += bytes;
+    m_last_read = now;
 }
 
-void held_account::end_wait(instant now)
+void buffer_account::end_reader_wait(instant now)
 {
-    if (!waits())
+    if (!waits_for_reader())
         return;
     if (m_was_slow || is_slow_reader(unread(now)))
-        ++m_book->m_slow_readers;
-    m_cut = nullptr;
-    m_book->m_waiting.erase(this);
+        ++m_budget->m_slow_readers;
+    m_disconnect = nullptr;
+    m_budget->m_waiting_accounts.erase(this);
 }
 
-unread_answer held_account::unread(instant now) const
+unread_response buffer_account::unread(instant now) const
 {
-    return {total(), m_taken, elapsed(m_since, now),
-            elapsed(m_last_taken, now)};
+    return {total(), m_read_bytes, elapsed(m_wait_start, now),
+            elapsed(m_last_read, now)};
 }
 
-void held_account::cut()
+void buffer_account::disconnect()
 {
-    if (!waits())
+    if (!waits_for_reader())
         return;
-    ++m_book->m_readers_cut;
+    ++m_budget->m_disconnected_readers;
     // A copy: the cut may end this account.
-    const auto action = m_cut;
+    const auto action = m_disconnect;
     action();
 }
 
--- a/src/forward/home_regions.cpp
+++ b/src/forward/home_regions.cpp
@@ -6,8 +6,8 @@
 
 namespace pepperturn {
 
-std::optional<std::set<std::string>> home_regions(const route& route,
-                                                  const workspace* owner)
+std::optional<std::set<std::string>> allowed_regions(const route& route,
+                                                     const workspace* owner)
 {
     const bool owner_binds = owner != nullptr && !owner->m_regions.empty();
     if (route.m_regions.empty())
--- a/src/forward/place_client.cpp
+++ b/src/forward/place_client.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-std::vector<std::string> place_givers(const std::vector<std::string>& members,
-                                      std::uint64_t service)
+std::vector<std::string> placement_vms(const std::vector<std::string>& members,
+                                       std::uint64_t service)
 {
     std::vector<std::pair<std::uint64_t, std::string>> ranked;
     ranked.reserve(members.size());
@@ -41,8 +41,8 @@
     return out;
 }
 
-bool shares_large_part(const std::vector<prompt_part>& parts,
-                       std::uint32_t from_tokens)
+bool has_large_shared_part(const std::vector<prompt_part>& parts,
+                           std::uint32_t from_tokens)
 {
     if (from_tokens == 0 || parts.empty())
         return false;
@@ -51,12 +51,13 @@
         [&](const prompt_part& part) { return part.m_tokens >= from_tokens; });
 }
 
-place_client::place_client(asio::io_context& io, const clock& time,
-                           member_links& links, std::uint32_t from_tokens)
+placement_client::placement_client(asio::io_context& io, const clock& time,
+                                   member_links& links,
+                                   std::uint32_t from_tokens)
     : m_io(io), m_time(time), m_links(links), m_from_tokens(from_tokens)
 {}
 
-void place_client::follow(const std::vector<member>& members)
+void placement_client::set_members(const std::vector<member>& members)
 {
     m_members.clear();
     for (const auto& row : members)
@@ -64,80 +65,84 @@
         if (takes_writes(row.m_state))
             m_members.push_back(row.m_name);
     }
-    std::erase_if(m_silence, [&](const auto& entry) {
+    std::erase_if(m_unresponsive, [&](const auto& entry) {
         return std::find(m_members.begin(), m_members.end(), entry.first) ==
                m_members.end();
     });
 }
 
-std::string place_client::giver_of(std::uint64_t service) const
+std::string placement_client::select_vm(std::uint64_t service) const
 {
     const auto now = m_time.now();
-    for (auto& name : place_givers(m_members, service))
+    for (auto& name : placement_vms(m_members, service))
     {
-        const auto silence = m_silence.find(name);
-        const bool answers =
-            silence == m_silence.end() || silence->second.m_until <= now;
+        const auto silence = m_unresponsive.find(name);
+        const bool answers = silence == m_unresponsive.end() ||
+                             silence->second.m_excluded_until <= now;
         if (answers && m_links.connected(name))
             return name;
     }
     return {};
 }
 
-void place_client::note_unanswered(const std::string& giver)
+void placement_client::record_unanswered(const std::string& giver)
 {
-    auto& row = m_silence[giver];
+    auto& row = m_unresponsive[giver];
     if (++row.m_unanswered < most_unanswered)
         return;
-    row.m_until = m_time.now() + silent_for;
+    row.m_excluded_until = m_time.now() + silent_for;
     LOG(WARNING) << "event=places_silent vm=" << giver
                  << " unanswered=" << row.m_unanswered;
 }
 
-task<std::optional<place_answer>> place_client::ask(std::string giver,
-                                                    place_question question,
-                                                    milliseconds patience)
+task<std::optional<placement_reply>>
+placement_client::send_request(std::string giver, placement_request question,
+                               milliseconds patience)
 {
     const auto until = m_time.now() + patience;
-    auto answer = co_await m_links.ask(giver, 0, std::move(question), until);
+    auto answer =
+        co_await m_links.request(giver, 0, std::move(question), until);
     if (!answer)
     {
-        note_unanswered(giver);
+        record_unanswered(giver);
         co_return std::nullopt;
     }
-    m_silence.erase(giver);
-    const auto* told = std::get_if<place_answer>(&answer->m_body);
+    m_unresponsive.erase(giver);
+    const auto* told = std::get_if<placement_reply>(&answer->m_body);
     if (told == nullptr)
         co_return std::nullopt;
     co_return *told;
 }
 
-task<place_grant> place_client::take(place_question question)
+task<placement_result> placement_client::acquire(placement_request question)
 {
-    place_grant out;
-    out.m_question = question;
-    out.m_giver = giver_of(question.m_service);
-    if (out.m_giver.empty())
+    placement_result out;
+    out.m_request = question;
+    out.m_storage_vm = select_vm(question.m_service);
+    if (out.m_storage_vm.empty())
         co_return out;
-    auto told = co_await ask(out.m_giver, question, answer_patience);
-    if (told && told->m_outcome == place_outcome::waiting)
+    auto told =
+        co_await send_request(out.m_storage_vm, question, answer_patience);
+    if (told && told->m_outcome == placement_outcome::waiting)
     {
-        question.m_collects = true;
-        const milliseconds patience(question.m_patience_ms);
-        told = co_await ask(out.m_giver, question, patience + line_margin);
+        question.m_already_queued = true;
+        const milliseconds patience(question.m_queue_timeout_ms);
+        told = co_await send_request(out.m_storage_vm, question,
+                                     patience + line_margin);
     }
     if (told)
-        out.m_answer = *told;
+        out.m_reply = *told;
     co_return out;
 }
 
-void place_client::tell_end(const place_grant& grant, place_report report)
+void placement_client::report_end(const placement_result& grant,
+                                  placement_report report)
 {
-    if (grant.m_giver.empty())
+    if (grant.m_storage_vm.empty())
         return;
-    report.m_service = grant.m_question.m_service;
-    report.m_call = grant.m_question.m_call;
-    m_links.tell(grant.m_giver, report);
+    report.m_service = grant.m_request.m_service;
+    report.m_call = grant.m_request.m_call;
+    m_links.notify(grant.m_storage_vm, report);
 }
 
 } // namespace pepperturn
--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -47,13 +47,13 @@
 {
     if (!open_listener(m_acceptor, at, reason))
         return false;
-    bound_buffers(m_acceptor, caller_connection::send_bytes,
-                  caller_connection::receive_bytes);
+    bound_buffers(m_acceptor, caller_connection::send_buffer_bytes,
+                  caller_connection::receive_buffer_bytes);
     spawn(m_io, "proxy.accept", accept_callers());
     return true;
 }
 
-bool proxy::take_config(routing_config config, std::uint64_t revision)
+bool proxy::apply_config(routing_config config, std::uint64_t revision)
 {
     m_config_revision = std::max(m_config_revision, revision);
     if (m_config && config.m_version <= m_config->m_version)
@@ -66,22 +66,22 @@
               << " routes=" << config.m_routes.size()
               << " services=" << config.m_services.size();
     m_config = std::make_shared<const routing_config>(std::move(config));
-    for (const auto& news : m_held)
+    for (const auto& news : m_startup_waiters)
         news->notify();
     return true;
 }
 
-void proxy::take_runners(const std::vector<runner_info>& runners)
+void proxy::set_runners(const std::vector<runner_info>& runners)
 {
-    follow_runners(m_runners.replace(runners, m_time.now()));
+    close_unused_connections(m_runners.replace(runners, m_time.now()));
 }
 
-void proxy::take_changes(const std::vector<runner_change>& changes)
+void proxy::apply_runner_changes(const std::vector<runner_change>& changes)
 {
-    follow_runners(m_runners.update(changes, m_time.now()));
+    close_unused_connections(m_runners.update(changes, m_time.now()));
 }
 
-void proxy::follow_runners(const std::vector<std::string>& restarted)
+void proxy::close_unused_connections(const std::vector<std::string>& restarted)
 {
     m_pool.retain([&](const std::string& id) {
         const auto* row = m_runners.find(id);
@@ -101,9 +101,9 @@
     m_runners.evacuate(zones);
 }
 
-void proxy::seed_draws(std::uint64_t seed)
+void proxy::set_random_seed(std::uint64_t seed)
 {
-    m_draw = seed;
+    m_random_value = seed;
     m_runners.set_seed(seed);
 }
 
@@ -142,14 +142,14 @@
         auto caller = std::make_shared<caller_connection>(
             m_io, m_time, m_memory, std::move(socket));
         m_callers.insert(caller);
-        spawn(m_io, "proxy.serve", serve(caller));
+        spawn(m_io, "proxy.serve", serve_connection(caller));
     }
 }
 
-task<> proxy::serve(std::shared_ptr<caller_connection> caller)
+task<> proxy::serve_connection(std::shared_ptr<caller_connection> caller)
 {
     if (m_memory.level() != pressure_level::calm)
-        co_await m_memory.pause();
+        co_await m_memory.throttle();
     while (true)
     {
         const auto limits = m_config ? m_config->m_limits : caller_limits{};
@@ -158,13 +158,13 @@
             break;
         if (read.m_outcome == read_outcome::refused)
         {
-            co_await refuse_unread(caller, std::move(read));
+            co_await refuse_unread_request(caller, std::move(read));
             break;
         }
-        ++m_active;
+        ++m_active_requests;
         const bool go_on =
-            co_await serve_one(caller, std::move(read.m_request));
-        --m_active;
+            co_await serve_request(caller, std::move(read.m_request));
+        --m_active_requests;
         if (!go_on)
             break;
     }
@@ -172,28 +172,28 @@
     m_callers.erase(caller);
 }
 
-task<> proxy::refuse_unread(std::shared_ptr<caller_connection> caller,
-                            read_result read)
+task<> proxy::refuse_unread_request(std::shared_ptr<caller_connection> caller,
+                                    read_result read)
 {
     LOG(INFO) << "event=request_refused status=" << read.m_status
               << " reason=\"" << read.m_reason
-              << "\" held=" << m_memory.book()->total();
-    auto answer = own_answer(read.m_status, read.m_reason);
-    if (!read.m_come_back)
+              << "\" held=" << m_memory.budget()->total();
+    auto answer = text_response(read.m_status, read.m_reason);
+    if (!read.m_retry_after)
     {
         m_metrics.count("requests_malformed");
-        (void)co_await caller->write_answer(answer, false);
+        (void)co_await caller->write_response(answer, false);
         co_return;
     }
-    m_memory.note_refused();
+    m_memory.count_refused_request();
     answer.m_fields.set(http::field::retry_after,
-                        seconds_text(*read.m_come_back));
+                        seconds_text(*read.m_retry_after));
     const auto id = decode_fields(read.m_request, m_names).m_id;
     if (!id.empty())
         answer.m_fields.set(m_names.m_request_id, id);
-    const bool told = co_await caller->write_answer(answer, false);
+    const bool told = co_await caller->write_response(answer, false);
     if (told)
-        co_await caller->discard_rest();
+        co_await caller->discard_rest_of_request();
 }
 
 std::string proxy::metrics_text() const
@@ -204,48 +204,50 @@
     return out;
 }
 
-task<bool> proxy::serve_one(std::shared_ptr<caller_connection> caller,
-                            caller_request request)
+task<bool> proxy::serve_request(std::shared_ptr<caller_connection> caller,
+                                caller_request request)
 {
     const auto work = std::make_shared<call>();
     work->m_request = std::move(request);
     work->m_fields = decode_fields(work->m_request, m_names);
-    work->m_held = caller->held();
+    work->m_buffered = caller->buffered();
     work->m_arrived = m_time.now();
     work->m_config = m_config;
     work->m_config_revision = m_config_revision;
-    work->m_aborter = std::make_shared<abort_switch>();
+    work->m_aborter = std::make_shared<abort_signal>();
     work->m_keep_alive = work->m_request.keep_alive();
     m_metrics.count("requests");
     auto result = co_await handle(caller, work);
-    if (work->m_has_place)
-        m_gate.leave();
-    give_back_place(*work);
-    give_back_quota(*work);
+    if (work->m_holds_gate_slot)
+        m_gate.release();
+    release_placement(*work);
+    release_quota(*work);
     caller->stop_watching();
-    const bool keep_alive = work->m_keep_alive && !m_draining && !result.m_cut;
-    bool written = !result.m_cut;
+    const bool keep_alive =
+        work->m_keep_alive && !m_draining && !result.m_aborted;
+    bool written = !result.m_aborted;
     unsigned status = 0;
-    if (result.m_answer)
+    if (result.m_response)
     {
-        status = result.m_answer->m_status;
+        status = result.m_response->m_status;
         if (!work->m_fields.m_id.empty() &&
-            result.m_answer->m_fields.count(m_names.m_request_id) == 0)
-            result.m_answer->m_fields.set(m_names.m_request_id,
-                                          work->m_fields.m_id);
-        written = co_await caller->write_answer(*result.m_answer, keep_alive);
+            result.m_response->m_fields.count(m_names.m_request_id) == 0)
+            result.m_response->m_fields.set(m_names.m_request_id,
+                                            work->m_fields.m_id);
+        written =
+            co_await caller->write_response(*result.m_response, keep_alive);
     }
-    if (caller->cut_unread())
-        work->m_why += caller->cut_reason();
-    log_end(*work, status);
-    count_workspace(*work, status, result.m_cut);
+    if (caller->write_aborted())
+        work->m_reason += caller->write_abort_reason();
+    log_request_end(*work, status);
+    count_workspace(*work, status, result.m_aborted);
     co_return written&& keep_alive;
 }
 
-void proxy::log_end(const call& work, unsigned status)
+void proxy::log_request_end(const call& work, unsigned status)
 {
     const auto took = elapsed(work.m_arrived, m_time.now());
-    m_metrics.note_answer(took);
+    m_metrics.record_response(took);
     m_metrics.count("answers_" + std::to_string(status));
     LOG(INFO) << "event=request_end id=" << work.m_fields.m_id
               << " program=" << work.m_fields.m_program << " route="
@@ -256,70 +258,73 @@
               << " status=" << status << " runner=" << work.m_runner
               << " attempts=" << work.m_attempts << " took_ms=" << took.count()
               << " config=" << (work.m_config ? work.m_config->m_version : 0)
-              << " why=\"" << work.m_why << '"';
+              << " why=\"" << work.m_reason << '"';
 }
 
-upstream_answer proxy::refuse(call& work, const std::string& why,
-                              milliseconds come_back)
+upstream_response proxy::refuse(call& work, const std::string& why,
+                                milliseconds come_back)
 {
-    work.m_why += why;
-    auto answer = own_answer(503, "not run: " + why + "\n");
+    work.m_reason += why;
+    auto answer = text_response(503, "not run: " + why + "\n");
     answer.m_fields.set(http::field::retry_after, seconds_text(come_back));
     return answer;
 }
 
-upstream_answer proxy::fail(call& work, unsigned status, const std::string& why)
+upstream_response proxy::fail(call& work, unsigned status,
+                              const std::string& why)
 {
-    work.m_why += why;
-    return own_answer(status, why + "\n");
+    work.m_reason += why;
+    return text_response(status, why + "\n");
 }
 
 task<> proxy::watch_deadline(std::shared_ptr<call> work)
 {
     asio::steady_timer timer(m_io);
     timer.expires_at(work->m_deadline);
-    const std::weak_ptr<abort_switch> aborter = work->m_aborter;
+    const std::weak_ptr<abort_signal> aborter = work->m_aborter;
     work.reset();
     error_code ec;
     co_await timer.async_wait(into(ec));
     if (const auto alive = aborter.lock())
-        alive->pull(abort_cause::timeout);
+        alive->abort(abort_cause::timeout);
 }
 
-instant proxy::held_until(const call& work) const
+instant proxy::startup_deadline(const call& work) const
 {
-    return work.m_arrived + start_hold({elapsed(m_started, work.m_arrived),
-                                        work.m_fields.m_deadline});
+    return work.m_arrived + startup_wait({elapsed(m_started, work.m_arrived),
+                                          work.m_fields.m_deadline});
 }
 
-task<> proxy::wait_for(std::shared_ptr<call> work, std::function<bool()> ready)
+task<> proxy::wait_for_startup(std::shared_ptr<call> work,
+                               std::function<bool()> ready)
 {
-    const auto until = held_until(*work);
+    const auto until = startup_deadline(*work);
     if (ready() || m_time.now() >= until)
         co_return;
     m_metrics.count("held_at_start");
     // An event has one waiter.
     const auto news = std::make_shared<async_event>(m_io);
-    m_held.insert(news);
+    m_startup_waiters.insert(news);
     while (!ready() && m_time.now() < until)
         co_await news->wait_until(std::min(until, m_time.now() + start_check));
-    m_held.erase(news);
+    m_startup_waiters.erase(news);
 }
 
-task<proxy::verdict> proxy::handle(std::shared_ptr<caller_connection> caller,
-                                   std::shared_ptr<call> work)
+task<proxy::call_result>
+proxy::handle(std::shared_ptr<caller_connection> caller,
+              std::shared_ptr<call> work)
 {
-    verdict out;
+    call_result out;
     if (!work->m_config)
     {
-        co_await wait_for(work, [this] { return m_config != nullptr; });
+        co_await wait_for_startup(work, [this] { return m_config != nullptr; });
         work->m_config = m_config;
         work->m_config_revision = m_config_revision;
     }
     if (!work->m_config)
     {
-        out.m_answer =
-            refuse(*work, "no configuration yet", come_back_configured);
+        out.m_response =
+            refuse(*work, "no configuration yet", retry_after_unconfigured);
         co_return out;
     }
     const auto target = work->m_request.target();
@@ -327,45 +332,45 @@
                                {target.data(), target.size()});
     if (work->m_route == nullptr)
     {
-        out.m_answer = fail(*work, 404, "no route");
+        out.m_response = fail(*work, 404, "no route");
         co_return out;
     }
     const auto& route = *work->m_route;
-    if (asks_keys() && !config_age_known())
-        co_await wait_for(work, [this] { return config_age_known(); });
-    out.m_answer = admit_caller(*work);
-    if (out.m_answer)
+    if (requires_keys() && !config_age_known())
+        co_await wait_for_startup(work, [this] { return config_age_known(); });
+    out.m_response = admit_caller(*work);
+    if (out.m_response)
         co_return out;
-    if (!work->m_fields.m_fault.empty())
+    if (!work->m_fields.m_error.empty())
     {
-        out.m_answer = fail(*work, 400, std::string(work->m_fields.m_fault));
+        out.m_response = fail(*work, 400, std::string(work->m_fields.m_error));
         co_return out;
     }
     work->m_deadline =
         work->m_arrived +
         std::min(route.m_timeout,
                  work->m_fields.m_deadline.value_or(route.m_timeout));
-    caller->limit_writes(work->m_deadline + write_slack);
+    caller->set_write_deadline(work->m_deadline + write_slack);
     if (work->m_workspace != nullptr)
-        work->m_held->set_workspace(work->m_workspace->m_name);
+        work->m_buffered->set_workspace(work->m_workspace->m_name);
     spawn(m_io, "proxy.deadline", watch_deadline(work));
     // What may not be repeated runs on to its end: its effect cannot be
     // taken back, and its answer may be asked for.
     if (route.m_kind != route_kind::unrepeatable)
-        caller->watch(work->m_aborter);
-    work->m_goes_on = !work->m_fields.m_parent_turn.empty();
-    const auto quota = ask_quota(work);
-    ask_place(work);
+        caller->watch_for_close(work->m_aborter);
+    work->m_continues_program = !work->m_fields.m_parent_turn.empty();
+    const auto quota = request_quota(work);
+    request_placement(work);
     // Callers that bring their whole history have a budget too.
     if (route.m_stateful || work->m_fields.m_token_budget)
-        out.m_answer = co_await begin_turn(work);
-    if (out.m_answer)
+        out.m_response = co_await begin_turn(work);
+    if (out.m_response)
     {
         abandon_quota(*work, quota);
         co_return out;
     }
-    out.m_answer = co_await await_quota(work, quota);
-    if (out.m_answer)
+    out.m_response = co_await await_quota(work, quota);
+    if (out.m_response)
     {
         settle(*work, 0);
         co_return out;
@@ -373,7 +378,7 @@
     co_return co_await forward(caller, work);
 }
 
-task<std::optional<upstream_answer>>
+task<std::optional<upstream_response>>
 proxy::begin_turn(std::shared_ptr<call> work)
 {
     const auto& fields = work->m_fields;
@@ -384,7 +389,7 @@
     begin.m_program = key_of(scoped_id(
         owner, fields.m_program.empty() ? fields.m_id : fields.m_program));
     begin.m_attempt = key_of(scoped_id(owner, fields.m_id));
-    begin.m_tokens = fields.m_most_tokens;
+    begin.m_tokens = fields.m_max_tokens;
     begin.m_budget = fields.m_token_budget.value_or(UINT64_MAX);
     begin.m_retention_ms =
         static_cast<std::uint32_t>(work->m_route->m_retention.count());
@@ -392,30 +397,31 @@
         begin.m_parent = scoped_id(owner, fields.m_parent_turn);
     if (begin.m_tokens > begin.m_budget)
     {
-        work->m_why = "budget=" + std::to_string(begin.m_budget) + ' ';
+        work->m_reason = "budget=" + std::to_string(begin.m_budget) + ' ';
         co_return fail(*work, 402, "budget is below one turn");
     }
     if (!m_turns.connected())
-        co_await wait_for(work, [this] { return m_turns.connected(); });
+        co_await wait_for_startup(work, [this] { return m_turns.connected(); });
     if (!m_turns.connected())
     {
         // Cut off from all of them: the next VM that is tried may not be.
         work->m_keep_alive = false;
-        co_return refuse(*work, "no storage VM is heard", come_back_cut_off);
+        co_return refuse(*work, "no storage VM is heard", retry_after_isolated);
     }
-    const auto homes = home_regions(*work->m_route, owner);
+    const auto homes = allowed_regions(*work->m_route, owner);
     if (homes && work->m_route->m_stateful &&
         !m_turns.keeps_within(begin.m_program, *homes))
         co_return refuse(*work, "its turns cannot be kept in its regions",
-                         come_back_later);
-    work->m_reserved = true;
+                         retry_after_no_reply);
+    work->m_budget_reserved = true;
     auto result = co_await m_turns.begin(
         begin,
-        std::min(work->m_deadline,
-                 std::max(m_time.now() + begin_patience, held_until(*work))));
-    m_metrics.note_turn_begin(elapsed(work->m_arrived, m_time.now()));
-    work->m_why = result.m_reason + ' ';
-    work->m_goes_on = work->m_goes_on || !result.m_places.empty();
+        std::min(work->m_deadline, std::max(m_time.now() + begin_patience,
+                                            startup_deadline(*work))));
+    m_metrics.record_turn_begin(elapsed(work->m_arrived, m_time.now()));
+    work->m_reason = result.m_reason + ' ';
+    work->m_continues_program =
+        work->m_continues_program || !result.m_places.empty();
     if (result.m_outcome == begin_outcome::granted)
     {
         for (const auto& turn : result.m_chain)
@@ -424,21 +430,23 @@
             work->m_body += turn.m_output;
         }
         const auto home =
-            find_prompt_home(fields.m_prompt_parts, result.m_places);
+            find_cached_prompt(fields.m_prompt_parts, result.m_places);
         if (!result.m_chain.empty())
-            work->m_preferred = result.m_chain.back().m_runner;
+            work->m_preferred_runner = result.m_chain.back().m_runner;
         else if (const auto* row =
-                     home ? m_runners.find_hashed(home->m_runner) : nullptr)
-            work->m_preferred = row->m_incarnation;
+                     home ? m_runners.find_incarnation_hash(home->m_runner)
+                          : nullptr)
+            work->m_preferred_runner = row->m_incarnation;
         work->m_body += work->m_request.body();
         const bool room =
-            work->m_held->set(held_kind::chain, work->m_body.size());
+            work->m_buffered->set(buffer_kind::history, work->m_body.size());
         if (!room || (m_memory.level() == pressure_level::cutting &&
                       !m_memory.may_read_body(work->m_body.size())))
         {
-            m_memory.note_refused();
+            m_memory.count_refused_request();
             settle(*work, 0);
-            co_return refuse(*work, "no memory for its chain", come_back_later);
+            co_return refuse(*work, "no memory for its chain",
+                             retry_after_no_reply);
         }
         co_return std::nullopt;
     }
@@ -447,24 +455,25 @@
         co_return fail(*work, 402, "budget is spent");
     if (result.m_outcome == begin_outcome::no_such_turn)
         co_return fail(*work, 404, "no such turn");
-    co_return refuse(*work, "storage", come_back_later);
+    co_return refuse(*work, "storage", retry_after_no_reply);
 }
 
-prompt_place proxy::place_of(const call& work) const
+prompt_location proxy::locate_prompt(const call& work) const
 {
     const auto& parts = work.m_fields.m_prompt_parts;
     const auto* row = m_runners.find_incarnation(work.m_runner);
     // Plain services read no prompts.
     if (row == nullptr || parts.empty())
         return {};
-    return {parts.back().m_id, work.m_fields.m_prompt_tokens, row->m_hash};
+    return {parts.back().m_id, work.m_fields.m_prompt_tokens,
+            row->m_incarnation_hash};
 }
 
 void proxy::settle(call& work, std::uint32_t tokens)
 {
-    if (!std::exchange(work.m_reserved, false))
+    if (!std::exchange(work.m_budget_reserved, false))
         return;
-    m_turns.settle(work.m_begin, tokens, place_of(work));
+    m_turns.settle(work.m_begin, tokens, locate_prompt(work));
 }
 
 } // namespace pepperturn
--- a/src/forward/proxy_attempts.cpp
+++ b/src/forward/proxy_attempts.cpp
@@ -37,13 +37,13 @@
 
 } // namespace
 
-std::string proxy::pick_service(const call& work) const
+std::string proxy::choose_service(const call& work) const
 {
     const auto& parts = work.m_route->m_services;
     if (parts.size() == 1)
         return parts.front().m_service;
     // A turn stays with the service that has its prefix.
-    if (const auto* kept = m_runners.find_incarnation(work.m_preferred))
+    if (const auto* kept = m_runners.find_incarnation(work.m_preferred_runner))
     {
         for (const auto& part : parts)
         {
@@ -66,87 +66,93 @@
     return parts.empty() ? std::string{} : parts.back().m_service;
 }
 
-proxy::verdict proxy::give_up(call& work, progress& state, bool given_up)
+proxy::call_result proxy::finish_without_response(call& work,
+                                                  attempt_progress& state,
+                                                  bool given_up)
 {
-    verdict out;
+    call_result out;
     settle(work, 0);
     const auto cause = work.m_aborter->cause();
     if (cause == abort_cause::caller_left || cause == abort_cause::not_read)
     {
         if (cause == abort_cause::caller_left)
-            work.m_why += "caller left";
-        out.m_cut = true;
+            work.m_reason += "caller left";
+        out.m_aborted = true;
     }
-    else if (state.m_reserve)
-        out.m_answer = std::move(state.m_reserve);
-    else if (state.m_may_have_run > 0)
-        out.m_answer = fail(work, given_up ? 504 : 502, "no whole answer");
-    else if (!fresh_enough(work))
-        out.m_answer = refuse_stale(work);
+    else if (state.m_fallback_response)
+        out.m_response = std::move(state.m_fallback_response);
+    else if (state.m_possible_runs > 0)
+        out.m_response = fail(work, given_up ? 504 : 502, "no whole answer");
+    else if (!config_is_fresh(work))
+        out.m_response = refuse_stale_config(work);
     else
-        out.m_answer = refuse(work, given_up ? "timeout" : "no runner took it",
-                              state.m_come_back.value_or(come_back_soon));
+        out.m_response =
+            refuse(work, given_up ? "timeout" : "no runner took it",
+                   state.m_retry_after.value_or(retry_after_no_slot));
     return out;
 }
 
-proxy::verdict proxy::refuse_for_memory(call& work, progress& state)
+proxy::call_result proxy::refuse_for_memory(call& work, attempt_progress& state)
 {
-    m_memory.note_refused();
-    if (state.m_may_have_run > 0)
-        return give_up(work, state, false);
+    m_memory.count_refused_request();
+    if (state.m_possible_runs > 0)
+        return finish_without_response(work, state, false);
     settle(work, 0);
-    verdict out;
-    out.m_answer = refuse(work, "no memory for its answer", come_back_later);
+    call_result out;
+    out.m_response =
+        refuse(work, "no memory for its answer", retry_after_no_reply);
     return out;
 }
 
-std::optional<proxy::verdict> proxy::judge(call& work, progress& state,
-                                           attempt_result result)
+std::optional<proxy::call_result>
+proxy::evaluate_attempt(call& work, attempt_progress& state,
+                        attempt_result result)
 {
-    verdict out;
+    call_result out;
     switch (result.m_outcome)
     {
     case attempt_outcome::answered:
-        if (state.m_may_repeat &&
-            result.m_answer.m_status >= first_server_error)
+        if (state.m_may_retry &&
+            result.m_response.m_status >= first_server_error)
         {
             // Another runner may do better; this answer stays in reserve.
-            ++state.m_may_have_run;
-            state.m_reserve = std::move(result.m_answer);
+            ++state.m_possible_runs;
+            state.m_fallback_response = std::move(result.m_response);
             return std::nullopt;
         }
         settle(work, 0);
-        out.m_answer = std::move(result.m_answer);
+        out.m_response = std::move(result.m_response);
         return out;
     case attempt_outcome::not_run:
         ++state.m_refusals;
         if (result.m_retry_after)
-            state.m_come_back =
-                std::min(*result.m_retry_after, come_back_later);
+            state.m_retry_after =
+                std::min(*result.m_retry_after, retry_after_no_reply);
         return std::nullopt;
     case attempt_outcome::unknown:
-        ++state.m_may_have_run;
-        if (state.m_may_repeat)
+        ++state.m_possible_runs;
+        if (state.m_may_retry)
             return std::nullopt;
         settle(work, 0);
-        out.m_answer = state.m_reserve ? std::move(*state.m_reserve)
-                                       : fail(work, 502, result.m_reason);
+        out.m_response = state.m_fallback_response
+                             ? std::move(*state.m_fallback_response)
+                             : fail(work, 502, result.m_reason);
         return out;
     case attempt_outcome::aborted:
         // Whoever gave it up decides what is answered.
-        ++state.m_may_have_run;
+        ++state.m_possible_runs;
         return std::nullopt;
     }
     return std::nullopt;
 }
 
-runner_choice proxy::begin_choice(call& work) const
+runner_query proxy::make_runner_choice(call& work) const
 {
-    runner_choice choice;
-    choice.m_service = pick_service(work);
-    choice.m_preferred = work.m_preferred;
+    runner_query choice;
+    choice.m_service = choose_service(work);
+    choice.m_preferred_incarnation = work.m_preferred_runner;
     choice.m_availability_zone = m_availability_zone;
-    choice.m_regions = home_regions(*work.m_route, work.m_workspace);
+    choice.m_regions = allowed_regions(*work.m_route, work.m_workspace);
     const auto found = work.m_config->m_services.find(choice.m_service);
     if (found != work.m_config->m_services.end() && found->second.m_engine)
     {
@@ -158,7 +164,7 @@
         // The last part is the conversation's own.
         const auto& parts = work.m_fields.m_prompt_parts;
         if (parts.size() > 1)
-            choice.m_shared_part = parts.front().m_id;
+            choice.m_shared_prefix = parts.front().m_id;
         // No preference for open connections: a conversation stays where it
         // begins, and its memory there is worth more than a connect.
         return choice;
@@ -169,33 +175,35 @@
     return choice;
 }
 
-std::optional<milliseconds> proxy::take_try(const route& route)
+std::optional<milliseconds> proxy::reserve_early_retry(const route& route)
 {
-    m_tries = earn_try(m_tries);
-    const auto found = m_answer_times.find(route.m_name);
-    if (found == m_answer_times.end() || !may_try_again(m_tries))
+    m_early_retry_budget = earn_retry(m_early_retry_budget);
+    const auto found = m_first_byte_times.find(route.m_name);
+    if (found == m_first_byte_times.end() ||
+        !retry_allowed(m_early_retry_budget))
         return std::nullopt;
-    const auto wait = second_try_wait(found->second);
+    const auto wait = retry_timeout(found->second);
     if (!wait || *wait >= patience_factor * route.m_target_latency)
         return std::nullopt;
-    m_tries = spend_try(m_tries);
+    m_early_retry_budget = spend_retry(m_early_retry_budget);
     return wait;
 }
 
-void proxy::note_try(const route& route, std::optional<milliseconds> wait,
-                     const attempt_result& result)
+void proxy::record_early_retry(const route& route,
+                               std::optional<milliseconds> wait,
+                               const attempt_result& result)
 {
-    const bool hung =
-        result.m_outcome == attempt_outcome::unknown && result.m_late;
+    const bool hung = result.m_outcome == attempt_outcome::unknown &&
+                      result.m_first_byte_timed_out;
     if (wait && hung)
         m_metrics.count("second_tries");
     else if (wait)
-        m_tries = return_try(m_tries);
+        m_early_retry_budget = refund_retry(m_early_retry_budget);
     // What hangs says nothing of how long answers take.
     if (route.m_kind == route_kind::idempotent && result.m_first_byte)
     {
-        auto& times = m_answer_times[route.m_name];
-        times = add_answer(times, *result.m_first_byte);
+        auto& times = m_first_byte_times[route.m_name];
+        times = add_response_time(times, *result.m_first_byte);
     }
 }
 
@@ -214,9 +222,9 @@
     std::optional<milliseconds> gap_patience;
     if (may_repeat && route.m_resumable)
     {
-        first_patience = std::max(patience_factor * route.m_target_latency,
-                                  first_event_factor *
-                                      m_runners.usual_first_byte(route.m_name));
+        first_patience = std::max(
+            patience_factor * route.m_target_latency,
+            first_event_factor * m_runners.average_first_byte(route.m_name));
         gap_patience =
             gap_factor * std::max(route.m_target_gap, route.m_target_latency);
     }
@@ -225,7 +233,7 @@
         give_up_at =
             std::min(work->m_deadline,
                      sent_at + patience_factor * route.m_target_latency);
-        first_patience = take_try(route);
+        first_patience = reserve_early_retry(route);
     }
     const std::string_view body =
         route.m_stateful ? work->m_body : work->m_request.body();
@@ -244,35 +252,36 @@
         work->m_config->m_directory.has_value(),
         work->m_workspace != nullptr ? work->m_workspace->m_name
                                      : std::string{},
-        [this, work] { return fresh_enough(*work); },
+        [this, work] { return config_is_fresh(*work); },
         work,
-        work->m_held,
+        work->m_buffered,
         [this, work](std::uint64_t bytes) -> task<bool> {
-            return m_memory.wait_for_room(work->m_held, bytes);
+            return m_memory.wait_for_capacity(work->m_buffered, bytes);
         }};
     auto result = co_await run_attempt(m_io, m_time, m_pool, m_runners, m_names,
                                        runner, request, sink, work->m_aborter);
     if (!route.m_resumable)
-        note_try(route, first_patience, result);
-    work->m_runs += result.m_outcome == attempt_outcome::not_run ? 0 : 1;
-    result.m_took = elapsed(sent_at, m_time.now());
+        record_early_retry(route, first_patience, result);
+    work->m_possible_runs +=
+        result.m_outcome == attempt_outcome::not_run ? 0 : 1;
+    result.m_duration = elapsed(sent_at, m_time.now());
     const double load =
         static_cast<double>(target.m_in_flight) / runner.m_slots;
     LOG(INFO) << "event=attempt id=" << work->m_fields.m_id
               << " runner=" << runner.m_id << " service=" << runner.m_service
-              << " load=" << load << " preferred=" << work->m_preferred
-              << " place=" << to_string(work->m_place.m_answer.m_outcome)
-              << " place_load=" << work->m_place.m_answer.m_under_way
-              << " cached=" << work->m_place.m_answer.m_cached_tokens
+              << " load=" << load << " preferred=" << work->m_preferred_runner
+              << " place=" << to_string(work->m_placement.m_reply.m_outcome)
+              << " place_load=" << work->m_placement.m_reply.m_under_way
+              << " cached=" << work->m_placement.m_reply.m_cached_tokens
               << " prompt=" << work->m_fields.m_prompt_tokens
-              << " expected_ms=" << work->m_place.m_answer.m_expected_ms
+              << " expected_ms=" << work->m_placement.m_reply.m_expected_ms
               << " outcome=" << to_string(result.m_outcome) << " first_byte_ms="
               << result.m_first_byte.value_or(milliseconds(-1)).count()
-              << " ms=" << result.m_took.count() << " reason=\""
+              << " ms=" << result.m_duration.count() << " reason=\""
               << result.m_reason << '"';
-    if (work->m_has_place && result.m_first_byte)
-        m_gate.note_call(route.m_name, *result.m_first_byte,
-                         result.m_took - *result.m_first_byte);
+    if (work->m_holds_gate_slot && result.m_first_byte)
+        m_gate.record_call(route.m_name, *result.m_first_byte,
+                           result.m_duration - *result.m_first_byte);
     m_metrics.count(std::string("attempts_") + to_string(result.m_outcome));
     co_return result;
 }
@@ -282,87 +291,89 @@
                              const std::shared_ptr<stream_relay>& relay)
 {
     const auto tell_taken = [caller, work](bool taken) {
-        if (!taken && caller->cut_unread())
-            work->m_aborter->pull(abort_cause::not_read);
+        if (!taken && caller->write_aborted())
+            work->m_aborter->abort(abort_cause::not_read);
         return taken;
     };
     stream_sink sink;
-    sink.m_begin = [=, this](const upstream_answer& head) -> task<bool> {
+    sink.m_begin = [=, this](const upstream_response& head) -> task<bool> {
         // A run that goes on from another keeps the first one's head.
-        if (relay->begun())
+        if (relay->started())
             co_return true;
-        relay->note_begun();
+        relay->mark_started();
         const bool taken = co_await caller->begin_stream(
             head, work->m_keep_alive && !m_draining);
         co_return tell_taken(taken);
     };
     sink.m_data = [=](std::string_view bytes) -> task<bool> {
-        const auto whole = relay->take(bytes);
+        const auto whole = relay->consume(bytes);
         if (whole.empty())
             co_return true;
-        const bool taken = co_await caller->write_piece(whole);
+        const bool taken = co_await caller->write_chunk(whole);
         co_return tell_taken(taken);
     };
     return sink;
 }
 
-bool proxy::may_repeat(const call& work, const progress& state)
+bool proxy::may_retry(const call& work, const attempt_progress& state)
 {
     const auto& route = *work.m_route;
     return (route.m_kind == route_kind::idempotent || route.m_resumable) &&
-           state.m_may_have_run + 1 < route.m_max_attempts;
+           state.m_possible_runs + 1 < route.m_max_attempts;
 }
 
 call_rank proxy::rank_of(const call& work) const
 {
-    const auto left = work.m_fields.m_program_left;
+    const auto left = work.m_fields.m_program_remaining;
     if (left && elapsed(work.m_arrived, m_time.now()) >= *left)
         return call_rank::late;
-    return work.m_goes_on ? call_rank::under_way : call_rank::first;
+    return work.m_continues_program ? call_rank::under_way : call_rank::first;
 }
 
-task<std::optional<proxy::verdict>>
-proxy::wait_for_place(std::shared_ptr<call> work)
+task<std::optional<proxy::call_result>>
+proxy::wait_for_gate(std::shared_ptr<call> work)
 {
     const auto asked = m_time.now();
     const auto rank = rank_of(*work);
-    const auto result = co_await m_gate.enter(
-        rank, wait_patience(rank, work->m_fields.m_program_left,
+    const auto result = co_await m_gate.acquire(
+        rank, queue_timeout(rank, work->m_fields.m_program_remaining,
                             elapsed(asked, work->m_deadline)));
     const auto waited = elapsed(asked, m_time.now());
     if (waited > milliseconds(0) || !result.m_admitted)
         LOG(INFO) << "event=engine_place id=" << work->m_fields.m_id
                   << " rank=" << to_string(rank)
-                  << " expected_ms=" << result.m_expected.count()
+                  << " expected_ms=" << result.m_expected_wait.count()
                   << " waited_ms=" << waited.count()
                   << " limit=" << m_gate.limit()
                   << " waiting=" << m_gate.waiting()
                   << " admitted=" << (result.m_admitted ? 1 : 0);
     if (result.m_admitted)
     {
-        work->m_has_place = true;
+        work->m_holds_gate_slot = true;
         co_return std::nullopt;
     }
     settle(*work, 0);
-    verdict out;
-    out.m_answer =
-        refuse(*work, "engines have no room",
-               come_back_after(result.m_expected, hash64(work->m_fields.m_id)));
+    call_result out;
+    out.m_response = refuse(
+        *work, "engines have no room",
+        retry_delay(result.m_expected_wait, hash64(work->m_fields.m_id)));
     co_return out;
 }
 
-task<bool> proxy::may_use_cold(std::shared_ptr<call> work, runner_row target)
+task<bool> proxy::may_use_cold_runner(std::shared_ptr<call> work,
+                                      runner_row target)
 {
     if (target.m_cold_until <= m_time.now())
         co_return true;
     const auto found = work->m_config->m_services.find(target.m_info.m_service);
     const double per_s = found == work->m_config->m_services.end()
                              ? 0
-                             : found->second.m_cold_per_s;
+                             : found->second.m_cold_requests_per_s;
     if (per_s <= 0)
         co_return true;
     const bool granted =
-        m_cold != nullptr && co_await m_cold->take(target.m_hash, per_s);
+        m_cold_client != nullptr &&
+        co_await m_cold_client->acquire(target.m_incarnation_hash, per_s);
     m_metrics.count(granted ? "cold_granted" : "cold_denied");
     LOG(INFO) << "event=cold_runner id=" << work->m_fields.m_id
               << " runner=" << target.m_info.m_id << " granted=" << granted
@@ -371,71 +382,72 @@
     co_return granted;
 }
 
-task<proxy::verdict> proxy::forward(std::shared_ptr<caller_connection> caller,
-                                    std::shared_ptr<call> work)
+task<proxy::call_result>
+proxy::forward(std::shared_ptr<caller_connection> caller,
+               std::shared_ptr<call> work)
 {
     const auto& route = *work->m_route;
     const auto shared_choice =
-        std::make_shared<runner_choice>(begin_choice(*work));
+        std::make_shared<runner_query>(make_runner_choice(*work));
     auto& choice = *shared_choice;
     const bool engine = work->m_urgency.has_value();
     if (engine)
     {
-        auto refused = co_await await_place(work, shared_choice);
+        auto refused = co_await await_placement(work, shared_choice);
         if (!refused && placed_runner(*work, choice) == nullptr)
-            refused = co_await wait_for_place(work);
+            refused = co_await wait_for_gate(work);
         if (refused)
             co_return std::move(*refused);
     }
     const auto relay = std::make_shared<stream_relay>(
-        route.m_resumable, route.m_stateful, work->m_fields.m_last_event);
+        route.m_resumable, route.m_stateful, work->m_fields.m_last_event_id);
     const auto sink = make_sink(caller, work, relay);
-    progress state;
+    attempt_progress state;
     attempt_result cut;
     while (true)
     {
         const bool given_up = work->m_aborter->cause() != abort_cause::none ||
                               m_time.now() >= work->m_deadline ||
-                              !fresh_enough(*work);
-        choice.m_draw = ++m_draw;
+                              !config_is_fresh(*work);
+        choice.m_random_tiebreak = ++m_random_value;
         bool may_go_on = !given_up && state.m_refusals < most_refusals;
-        if (may_go_on && work->m_runs > 0)
-            may_go_on = co_await take_another_grant(work);
+        if (may_go_on && work->m_possible_runs > 0)
+            may_go_on = co_await request_retry_quota(work);
         if (may_go_on && !choice.m_excluded.empty())
-            co_await move_place(work, shared_choice);
+            co_await request_other_placement(work, shared_choice);
         const auto* row = may_go_on ? placed_runner(*work, choice) : nullptr;
         if (may_go_on && row == nullptr)
             row = m_runners.choose(choice, m_time.now());
         const auto target = row != nullptr ? *row : runner_row{};
-        if (row != nullptr && !co_await may_use_cold(work, target))
+        if (row != nullptr && !co_await may_use_cold_runner(work, target))
         {
             choice.m_excluded.insert(target.m_info.m_id);
-            choice.m_warm_only = ++state.m_cold_denied >= most_cold_denials;
+            choice.m_warm_only = ++state.m_cold_denials >= most_cold_denials;
             continue;
         }
-        if (row == nullptr && relay->begun())
+        if (row == nullptr && relay->started())
             co_return co_await finish_stream(caller, work, cut, *relay);
         if (row == nullptr)
-            co_return give_up(*work, state, given_up);
+            co_return finish_without_response(*work, state, given_up);
         choice.m_excluded.insert(target.m_info.m_id);
-        state.m_may_repeat = may_repeat(*work, state);
-        const auto events_before = relay->events().whole_events();
-        auto result = co_await attempt(work, target, state.m_may_repeat,
+        state.m_may_retry = may_retry(*work, state);
+        const auto events_before = relay->events().complete_events();
+        auto result = co_await attempt(work, target, state.m_may_retry,
                                        relay->last_event(), sink);
-        end_place(*work, result,
-                  relay->events().whole_events() - events_before);
-        if (result.m_no_memory && !relay->begun())
+        report_placement(*work, result,
+                         relay->events().complete_events() - events_before);
+        if (result.m_out_of_memory && !relay->started())
             co_return refuse_for_memory(*work, state);
         const bool cut_off = result.m_outcome == attempt_outcome::unknown;
-        if (relay->begun() && result.m_outcome == attempt_outcome::not_run)
+        if (relay->started() && result.m_outcome == attempt_outcome::not_run)
         {
             ++state.m_refusals;
             continue;
         }
-        if (relay->begun() && cut_off && state.m_may_repeat)
+        if (relay->started() && cut_off && state.m_may_retry)
         {
-            ++state.m_may_have_run;
-            relay->drop_rest();
+            ++state.m_possible_runs;
+            relay->discard_partial_event();
             cut = std::move(result);
             m_metrics.count("streams_resumed");
             LOG(INFO) << "event=stream_resumed id=" << work->m_fields.m_id
@@ -444,42 +456,42 @@
                       << " reason=\"" << cut.m_reason << '"';
             continue;
         }
-        if (relay->begun())
+        if (relay->started())
         {
             if (!result.m_streamed)
                 result.m_outcome = attempt_outcome::unknown;
             co_return co_await finish_stream(caller, work, result, *relay);
         }
-        if (auto done = judge(*work, state, std::move(result)))
+        if (auto done = evaluate_attempt(*work, state, std::move(result)))
             co_return std::move(*done);
     }
 }
 
-task<proxy::verdict>
+task<proxy::call_result>
 proxy::finish_stream(std::shared_ptr<caller_connection> caller,
                      std::shared_ptr<call> work, const attempt_result& result,
                      stream_relay& relay)
 {
-    verdict out;
+    call_result out;
     const bool whole = result.m_outcome == attempt_outcome::answered;
-    const std::string rest = whole ? relay.take_rest() : std::string{};
+    const std::string rest = whole ? relay.flush() : std::string{};
     if (!rest.empty())
     {
-        const bool taken = co_await caller->write_piece(rest);
-        out.m_cut = !taken;
+        const bool taken = co_await caller->write_chunk(rest);
+        out.m_aborted = !taken;
     }
     const auto& events = relay.events();
     const auto count_tokens = [&](std::uint32_t count) {
         return std::min(
             count * work->m_tokens_per_event,
-            std::max(work->m_fields.m_most_tokens, work->m_tokens_per_event));
+            std::max(work->m_fields.m_max_tokens, work->m_tokens_per_event));
     };
     if (!whole)
     {
         // The end is left out, so that what came does not look whole.
-        settle(*work, count_tokens(events.begun_events()));
-        work->m_why += "stream cut: " + result.m_reason;
-        out.m_cut = true;
+        settle(*work, count_tokens(events.started_events()));
+        work->m_reason += "stream cut: " + result.m_reason;
+        out.m_aborted = true;
         co_return out;
     }
     if (work->m_route->m_stateful)
@@ -493,21 +505,21 @@
         turn.m_runner = work->m_runner;
         turn.m_program = work->m_begin.m_program;
         turn.m_attempt = work->m_begin.m_attempt;
-        turn.m_tokens = count_tokens(events.whole_events());
-        work->m_reserved = false;
+        turn.m_tokens = count_tokens(events.complete_events());
+        work->m_budget_reserved = false;
         log_entry entry{work->m_begin.m_retention_ms, std::move(turn)};
         if (!co_await m_turns.keep(std::move(entry), work->m_deadline))
         {
-            work->m_why += "turn not kept";
-            out.m_cut = true;
+            work->m_reason += "turn not kept";
+            out.m_aborted = true;
             co_return out;
         }
     }
     else
-        settle(*work, count_tokens(events.whole_events()));
+        settle(*work, count_tokens(events.complete_events()));
     // Callers count a turn from here on.
-    if (!out.m_cut)
-        out.m_cut = !co_await caller->end_stream();
+    if (!out.m_aborted)
+        out.m_aborted = !co_await caller->end_stream();
     co_return out;
 }
 
--- a/src/forward/proxy_places.cpp
+++ b/src/forward/proxy_places.cpp
@@ -20,28 +20,28 @@
         span.count(), 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
-place_end end_of(const attempt_result& result)
+placement_end end_of(const attempt_result& result)
 {
     if (result.m_outcome == attempt_outcome::not_run)
-        return place_end::not_run;
+        return placement_end::not_run;
     return result.m_outcome == attempt_outcome::answered && result.m_streamed
-               ? place_end::whole
-               : place_end::broken;
+               ? placement_end::whole
+               : placement_end::broken;
 }
 
 } // namespace
 
-void proxy::place_by(place_client& places)
+void proxy::set_placement_client(placement_client& places)
 {
-    m_places = &places;
+    m_placement_client = &places;
 }
 
-place_question proxy::place_question_of(const call& work,
-                                        const std::string& service)
+placement_request proxy::make_placement_request(const call& work,
+                                                const std::string& service)
 {
     const auto& fields = work.m_fields;
     const auto rank = rank_of(work);
-    place_question out;
+    placement_request out;
     out.m_service = hash64(service);
     out.m_call = hash64(fields.m_id);
     if (work.m_workspace != nullptr)
@@ -54,134 +54,140 @@
         out.m_priority = work.m_route->m_priority;
     out.m_parts = fields.m_prompt_parts;
     out.m_prompt_tokens = fields.m_prompt_tokens;
-    out.m_most_tokens = fields.m_most_tokens;
-    out.m_expected_tokens = fields.m_expected_tokens;
+    out.m_max_output_tokens = fields.m_max_tokens;
+    out.m_expected_output_tokens = fields.m_expected_tokens;
     out.m_rank = rank;
-    out.m_patience_ms = in_wire_ms(wait_patience(
-        rank, fields.m_program_left, elapsed(m_time.now(), work.m_deadline)));
-    if (fields.m_program_left)
-        out.m_program_left_ms = in_wire_ms(*fields.m_program_left);
+    out.m_queue_timeout_ms =
+        in_wire_ms(queue_timeout(rank, fields.m_program_remaining,
+                                 elapsed(m_time.now(), work.m_deadline)));
+    if (fields.m_program_remaining)
+        out.m_program_time_left_ms = in_wire_ms(*fields.m_program_remaining);
     out.m_availability_zone = m_availability_zone;
-    if (const auto homes = home_regions(*work.m_route, work.m_workspace))
+    if (const auto homes = allowed_regions(*work.m_route, work.m_workspace))
         out.m_regions = {homes->begin(), homes->end()};
     return out;
 }
 
-void proxy::ask_place(const std::shared_ptr<call>& work)
+void proxy::request_placement(const std::shared_ptr<call>& work)
 {
     // Of several services the conversation's own is known later.
     const auto& services = work->m_route->m_services;
-    if (m_places == nullptr || services.size() != 1 ||
-        !m_places->wants(work->m_fields.m_prompt_parts))
+    if (m_placement_client == nullptr || services.size() != 1 ||
+        !m_placement_client->should_request(work->m_fields.m_prompt_parts))
         return;
     const auto found =
         work->m_config->m_services.find(services.front().m_service);
     if (found == work->m_config->m_services.end() || !found->second.m_engine)
         return;
-    auto asked = std::make_shared<place_wait>(m_io);
-    work->m_place_asked = asked;
+    auto asked = std::make_shared<pending_placement>(m_io);
+    work->m_pending_placement = asked;
     spawn(m_io, "proxy.place",
-          [](place_client& places, place_question question,
-             std::shared_ptr<place_wait> state) -> task<> {
-              state->m_grant = co_await places.take(std::move(question));
+          [](placement_client& places, placement_request question,
+             std::shared_ptr<pending_placement> state) -> task<> {
+              state->m_grant = co_await places.acquire(std::move(question));
               state->m_done = true;
               if (state->m_abandoned)
-                  places.tell_end(state->m_grant, {});
-              state->m_changed.notify();
-          }(*m_places, place_question_of(*work, found->first), asked));
+                  places.report_end(state->m_grant, {});
+              state->m_completion.notify();
+          }(*m_placement_client, make_placement_request(*work, found->first),
+                                                       asked));
 }
 
-task<std::optional<proxy::verdict>>
-proxy::await_place(std::shared_ptr<call> work,
-                   std::shared_ptr<runner_choice> choice)
+task<std::optional<proxy::call_result>>
+proxy::await_placement(std::shared_ptr<call> work,
+                       std::shared_ptr<runner_query> choice)
 {
-    if (m_places == nullptr || !m_places->wants(work->m_fields.m_prompt_parts))
+    if (m_placement_client == nullptr ||
+        !m_placement_client->should_request(work->m_fields.m_prompt_parts))
         co_return std::nullopt;
-    if (const auto asked = work->m_place_asked)
+    if (const auto asked = work->m_pending_placement)
     {
         while (!asked->m_done)
-            co_await asked->m_changed.wait_until(instant::max());
-        work->m_place = asked->m_grant;
+            co_await asked->m_completion.wait_until(instant::max());
+        work->m_placement = asked->m_grant;
     }
     else
     {
-        auto question = place_question_of(*work, choice->m_service);
-        work->m_place = co_await m_places->take(std::move(question));
+        auto question = make_placement_request(*work, choice->m_service);
+        work->m_placement =
+            co_await m_placement_client->acquire(std::move(question));
     }
-    work->m_place_open = !work->m_place.m_giver.empty();
-    work->m_place_asked = nullptr;
-    const auto& told = work->m_place.m_answer;
+    work->m_placement_unreported = !work->m_placement.m_storage_vm.empty();
+    work->m_pending_placement = nullptr;
+    const auto& told = work->m_placement.m_reply;
     m_metrics.count(std::string("places_") + to_string(told.m_outcome));
-    if (told.m_outcome != place_outcome::no_room)
+    if (told.m_outcome != placement_outcome::no_room)
         co_return std::nullopt;
     settle(*work, 0);
-    verdict out;
-    out.m_answer = refuse(*work, "all engines are full",
-                          come_back_after(milliseconds(told.m_retry_ms),
-                                          hash64(work->m_fields.m_id)));
+    call_result out;
+    out.m_response = refuse(*work, "all engines are full",
+                            retry_delay(milliseconds(told.m_retry_after_ms),
+                                        hash64(work->m_fields.m_id)));
     co_return out;
 }
 
-task<> proxy::move_place(std::shared_ptr<call> work,
-                         std::shared_ptr<runner_choice> choice)
+task<> proxy::request_other_placement(std::shared_ptr<call> work,
+                                      std::shared_ptr<runner_query> choice)
 {
-    if (m_places == nullptr || work->m_place.m_giver.empty())
+    if (m_placement_client == nullptr || work->m_placement.m_storage_vm.empty())
         co_return;
-    auto question = place_question_of(*work, choice->m_service);
+    auto question = make_placement_request(*work, choice->m_service);
     for (const auto& id : choice->m_excluded)
     {
         if (const auto* row = m_runners.find(id))
-            question.m_excluded.push_back(row->m_hash);
+            question.m_excluded.push_back(row->m_incarnation_hash);
     }
-    work->m_place = co_await m_places->take(std::move(question));
-    work->m_place_open = !work->m_place.m_giver.empty();
+    work->m_placement =
+        co_await m_placement_client->acquire(std::move(question));
+    work->m_placement_unreported = !work->m_placement.m_storage_vm.empty();
 }
 
 const runner_row* proxy::placed_runner(const call& work,
-                                       const runner_choice& choice) const
+                                       const runner_query& choice) const
 {
-    if (work.m_place.m_answer.m_outcome != place_outcome::placed)
+    if (work.m_placement.m_reply.m_outcome != placement_outcome::placed)
         return nullptr;
-    const auto* row = m_runners.find_hashed(work.m_place.m_answer.m_runner);
+    const auto* row =
+        m_runners.find_incarnation_hash(work.m_placement.m_reply.m_runner);
     // The lists of runners may differ for a moment.
-    const bool usable = row != nullptr && m_runners.may_use(*row, choice) &&
+    const bool usable = row != nullptr && m_runners.is_eligible(*row, choice) &&
                         row->m_info.m_service == choice.m_service;
     return usable ? row : nullptr;
 }
 
-void proxy::end_place(call& work, const attempt_result& result,
-                      std::uint32_t events)
+void proxy::report_placement(call& work, const attempt_result& result,
+                             std::uint32_t events)
 {
-    if (!std::exchange(work.m_place_open, false))
+    if (!std::exchange(work.m_placement_unreported, false))
         return;
-    place_report report;
+    placement_report report;
     const auto* row = m_runners.find_incarnation(work.m_runner);
-    report.m_runner = row != nullptr ? row->m_hash : 0;
+    report.m_runner = row != nullptr ? row->m_incarnation_hash : 0;
     report.m_end = end_of(result);
     const bool left = work.m_aborter->cause() == abort_cause::caller_left ||
                       work.m_aborter->cause() == abort_cause::not_read;
     if (left && result.m_first_byte)
         // The engine did its part; what came says nothing of its pace.
-        report.m_end = place_end::whole;
+        report.m_end = placement_end::whole;
     else
     {
-        const auto first = result.m_first_byte.value_or(result.m_took);
+        const auto first = result.m_first_byte.value_or(result.m_duration);
         report.m_first_byte_ms = in_wire_ms(first);
-        report.m_run_ms = in_wire_ms(result.m_took - first);
-        report.m_tokens = events * work.m_tokens_per_event;
+        report.m_run_ms = in_wire_ms(result.m_duration - first);
+        report.m_output_tokens = events * work.m_tokens_per_event;
     }
-    m_places->tell_end(work.m_place, report);
+    m_placement_client->report_end(work.m_placement, report);
 }
 
-void proxy::give_back_place(call& work)
+void proxy::release_placement(call& work)
 {
-    if (work.m_place_asked && !work.m_place_asked->m_done)
-        work.m_place_asked->m_abandoned = true;
-    else if (work.m_place_asked)
-        m_places->tell_end(work.m_place_asked->m_grant, {});
-    work.m_place_asked = nullptr;
-    if (std::exchange(work.m_place_open, false))
-        m_places->tell_end(work.m_place, {});
+    if (work.m_pending_placement && !work.m_pending_placement->m_done)
+        work.m_pending_placement->m_abandoned = true;
+    else if (work.m_pending_placement)
+        m_placement_client->report_end(work.m_pending_placement->m_grant, {});
+    work.m_pending_placement = nullptr;
+    if (std::exchange(work.m_placement_unreported, false))
+        m_placement_client->report_end(work.m_placement, {});
 }
 
 } // namespace pepperturn
--- a/src/forward/proxy_workspaces.cpp
+++ b/src/forward/proxy_workspaces.cpp
@@ -25,34 +25,35 @@
 
 } // namespace
 
-void proxy::guard_workspaces(workspace_guard guard)
+void proxy::enable_workspace_admission(workspace_admission guard)
 {
-    m_guard = std::move(guard);
+    m_admission = std::move(guard);
 }
 
 bool proxy::config_age_known() const
 {
-    return !m_guard.m_config_age ||
-           m_guard.m_config_age() != milliseconds::max();
+    return !m_admission.m_config_age ||
+           m_admission.m_config_age() != milliseconds::max();
 }
 
-bool proxy::fresh_enough(const call& work) const
+bool proxy::config_is_fresh(const call& work) const
 {
-    if (work.m_workspace == nullptr || !m_guard.m_config_age)
+    if (work.m_workspace == nullptr || !m_admission.m_config_age)
         return true;
-    return m_guard.m_config_age() <= longest_use(m_guard.m_limits);
+    return m_admission.m_config_age() <=
+           max_use_age(m_admission.m_staleness_limits);
 }
 
-upstream_answer proxy::refuse_stale(call& work)
+upstream_response proxy::refuse_stale_config(call& work)
 {
     // The next VM that is tried may hear the store.
     work.m_keep_alive = false;
     m_metrics.count("refused_stale_config");
     return refuse(work, "the configuration may be outdated here",
-                  come_back_cut_off);
+                  retry_after_isolated);
 }
 
-std::optional<upstream_answer> proxy::admit_caller(call& work)
+std::optional<upstream_response> proxy::admit_caller(call& work)
 {
     constexpr unsigned unauthorized = 401;
     const auto& directory = work.m_config->m_directory;
@@ -60,68 +61,69 @@
         return std::nullopt;
     const auto given = decode_credentials(work.m_request, m_names);
     const auto age =
-        m_guard.m_config_age ? m_guard.m_config_age() : milliseconds(0);
-    const auto found = identify(*directory, given, age, m_guard.m_limits);
+        m_admission.m_config_age ? m_admission.m_config_age() : milliseconds(0);
+    const auto found =
+        identify(*directory, given, age, m_admission.m_staleness_limits);
     if (found.m_verdict == identity_verdict::known)
     {
         work.m_workspace = found.m_workspace;
         return std::nullopt;
     }
-    work.m_why = "config_age_ms=" + std::to_string(age.count()) + ' ';
+    work.m_reason = "config_age_ms=" + std::to_string(age.count()) + ' ';
     m_metrics.count(std::string("callers_") + to_string(found.m_verdict));
     if (found.m_verdict == identity_verdict::uncertain)
-        return refuse_stale(work);
+        return refuse_stale_config(work);
     const bool unknown = found.m_verdict == identity_verdict::unknown;
     auto answer = fail(work, unauthorized,
-                       unknown ? "unknown key" : std::string(given.m_fault));
+                       unknown ? "unknown key" : std::string(given.m_error));
     answer.m_fields.set(http::field::www_authenticate, m_names.m_key_scheme);
     return answer;
 }
 
-std::shared_ptr<proxy::quota_wait>
-proxy::ask_quota(const std::shared_ptr<call>& work)
+std::shared_ptr<proxy::pending_quota>
+proxy::request_quota(const std::shared_ptr<call>& work)
 {
-    if (work->m_workspace == nullptr || m_guard.m_quota == nullptr ||
+    if (work->m_workspace == nullptr || m_admission.m_quota == nullptr ||
         work->m_workspace->m_limit.m_rate_per_s <= 0)
         return nullptr;
     const auto& fields = work->m_fields;
-    quota_question question;
+    quota_request question;
     question.m_workspace = hash64(work->m_workspace->m_name);
     question.m_limit = work->m_workspace->m_limit;
     question.m_config_revision = work->m_config_revision;
     if (!fields.m_program.empty())
         question.m_program = hash64(fields.m_program);
-    question.m_begins = work->m_route->m_stateful &&
-                        fields.m_parent_turn.empty() &&
-                        fields.m_program_left.has_value();
+    question.m_begins_program = work->m_route->m_stateful &&
+                                fields.m_parent_turn.empty() &&
+                                fields.m_program_remaining.has_value();
     auto left = elapsed(m_time.now(), work->m_deadline);
-    if (fields.m_program_left)
-        left = std::min(left, *fields.m_program_left);
+    if (fields.m_program_remaining)
+        left = std::min(left, *fields.m_program_remaining);
     left = std::clamp(left / wait_part, milliseconds(0), longest_wait);
-    question.m_patience_ms = static_cast<std::uint32_t>(left.count());
-    auto asked = std::make_shared<quota_wait>(m_io);
+    question.m_queue_timeout_ms = static_cast<std::uint32_t>(left.count());
+    auto asked = std::make_shared<pending_quota>(m_io);
     spawn(m_io, "proxy.quota",
-          [](quota_client& quota, quota_question what,
-             std::shared_ptr<quota_wait> state) -> task<> {
-              state->m_grant = co_await quota.take(what);
+          [](quota_client& quota, quota_request what,
+             std::shared_ptr<pending_quota> state) -> task<> {
+              state->m_grant = co_await quota.acquire(what);
               state->m_done = true;
-              state->m_changed.notify();
+              state->m_completion.notify();
               if (state->m_abandoned)
-                  quota.give_back(state->m_grant);
-          }(*m_guard.m_quota, question, asked));
+                  quota.release(state->m_grant);
+          }(*m_admission.m_quota, question, asked));
     return asked;
 }
 
-task<std::optional<upstream_answer>>
+task<std::optional<upstream_response>>
 proxy::await_quota(std::shared_ptr<call> work,
-                   std::shared_ptr<quota_wait> asked)
+                   std::shared_ptr<pending_quota> asked)
 {
     if (!asked)
         co_return std::nullopt;
     while (!asked->m_done)
-        co_await asked->m_changed.wait_until(instant::max());
-    work->m_grant = asked->m_grant;
-    const auto& grant = work->m_grant;
+        co_await asked->m_completion.wait_until(instant::max());
+    work->m_quota_grant = asked->m_grant;
+    const auto& grant = work->m_quota_grant;
     m_metrics.count(std::string("quota_") + to_string(grant.m_outcome));
     if (grant.m_outcome == quota_outcome::granted)
         co_return std::nullopt;
@@ -129,38 +131,39 @@
     std::ostringstream limit;
     limit << "limit of " << work->m_workspace->m_name << " ("
           << work->m_workspace->m_limit.m_rate_per_s << "/s + "
-          << work->m_workspace->m_limit.m_burst << ", asked " << grant.m_asked
-          << ')';
+          << work->m_workspace->m_limit.m_burst << ", asked "
+          << grant.m_owners_asked << ')';
     auto why = limit.str();
     if (grant.m_outcome == quota_outcome::not_owner)
         co_return refuse(*work, why + ": nobody counts it now",
-                         come_back_later + spread);
-    if (grant.m_question.m_begins)
+                         retry_after_no_reply + spread);
+    if (grant.m_request.m_begins_program)
         why += " bears no further program now";
     constexpr unsigned too_many_requests = 429;
-    auto answer = refuse(*work, why, grant.m_retry + spread);
+    auto answer = refuse(*work, why, grant.m_retry_after + spread);
     answer.m_status = too_many_requests;
     co_return answer;
 }
 
-task<bool> proxy::take_another_grant(std::shared_ptr<call> work)
+task<bool> proxy::request_retry_quota(std::shared_ptr<call> work)
 {
     // Whoever has leave to run once needs it again for a second run.
-    if (work->m_grant.m_outcome != quota_outcome::granted ||
-        work->m_grant.m_asked == 0)
+    if (work->m_quota_grant.m_outcome != quota_outcome::granted ||
+        work->m_quota_grant.m_owners_asked == 0)
         co_return true;
-    auto question = work->m_grant.m_question;
-    question.m_begins = false;
-    const auto grant = co_await m_guard.m_quota->take(question);
+    auto question = work->m_quota_grant.m_request;
+    question.m_begins_program = false;
+    const auto grant = co_await m_admission.m_quota->acquire(question);
     co_return grant.m_outcome == quota_outcome::granted;
 }
 
-void proxy::abandon_quota(call& work, const std::shared_ptr<quota_wait>& asked)
+void proxy::abandon_quota(call& work,
+                          const std::shared_ptr<pending_quota>& asked)
 {
     if (!asked)
         return;
     if (asked->m_done)
-        work.m_grant = asked->m_grant;
+        work.m_quota_grant = asked->m_grant;
     else
         asked->m_abandoned = true;
 }
@@ -172,38 +175,38 @@
     constexpr unsigned first_failure = 400;
     constexpr unsigned too_many_requests = 429;
     constexpr unsigned unavailable = 503;
-    const auto& grant = work.m_grant;
+    const auto& grant = work.m_quota_grant;
     auto& counts = m_metrics.of_workspace(work.m_workspace->m_name);
-    counts.note(workspace_event::asked);
+    counts.increment(workspace_event::asked);
     if (grant.m_outcome == quota_outcome::granted &&
-        grant.m_waited > milliseconds(0))
-        counts.note(workspace_event::waited);
+        grant.m_wait > milliseconds(0))
+        counts.increment(workspace_event::waited);
     // A stream has been answered already; its status is 0 here.
     if (!cut && status < first_failure)
     {
-        counts.note(workspace_event::served);
+        counts.increment(workspace_event::served);
         const auto took = elapsed(work.m_arrived, m_time.now());
         if (!work.m_route->m_stateful && took > work.m_route->m_target_latency)
-            counts.note(workspace_event::late);
+            counts.increment(workspace_event::late);
         return;
     }
     if (status == too_many_requests)
-        counts.note(grant.m_question.m_begins
-                        ? workspace_event::refused_first_call
-                        : workspace_event::refused_call);
+        counts.increment(grant.m_request.m_begins_program
+                             ? workspace_event::refused_first_call
+                             : workspace_event::refused_call);
     else if (status == unavailable && grant.m_owner.empty() &&
-             grant.m_question.m_workspace != 0)
-        counts.note(workspace_event::refused_uncounted);
+             grant.m_request.m_workspace != 0)
+        counts.increment(workspace_event::refused_uncounted);
     else if (status == unavailable)
-        counts.note(workspace_event::refused_otherwise);
+        counts.increment(workspace_event::refused_otherwise);
     else
-        counts.note(workspace_event::failed);
+        counts.increment(workspace_event::failed);
 }
 
-void proxy::give_back_quota(const call& work)
+void proxy::release_quota(const call& work)
 {
-    if (m_guard.m_quota != nullptr && work.m_runs == 0)
-        m_guard.m_quota->give_back(work.m_grant);
+    if (m_admission.m_quota != nullptr && work.m_possible_runs == 0)
+        m_admission.m_quota->release(work.m_quota_grant);
 }
 
 } // namespace pepperturn
--- a/src/forward/request_head.cpp
+++ b/src/forward/request_head.cpp
@@ -175,11 +175,11 @@
     constexpr std::uint64_t largest = UINT32_MAX;
     if (!prompt || !most || *prompt > largest || *most > largest)
     {
-        out.m_fault = "the token count is no pair of numbers";
+        out.m_error = "the token count is no pair of numbers";
         return;
     }
     out.m_prompt_tokens = static_cast<std::uint32_t>(*prompt);
-    out.m_most_tokens = static_cast<std::uint32_t>(*most);
+    out.m_max_tokens = static_cast<std::uint32_t>(*most);
 }
 
 /// Reads ID:TOKENS by commas; they only tell where to go best, so that what
@@ -219,16 +219,16 @@
         out.m_deadline = milliseconds(*ms);
     out.m_program = text(names.m_program);
     if (const auto ms = parse_number(text(names.m_program_deadline)))
-        out.m_program_left = milliseconds(*ms);
+        out.m_program_remaining = milliseconds(*ms);
     if (request.count(names.m_token_count) > 0)
         read_token_count(out, text(names.m_token_count));
     if (request.count(names.m_token_budget) > 0)
     {
         out.m_token_budget = parse_number(text(names.m_token_budget));
         if (!out.m_token_budget)
-            out.m_fault = "the token budget is no number";
+            out.m_error = "the token budget is no number";
         else if (request.count(names.m_token_count) == 0)
-            out.m_fault = "a token budget without a token count";
+            out.m_error = "a token budget without a token count";
     }
     // A guess that does not read is none.
     const auto expected = parse_number(text(names.m_length_hint));
@@ -238,9 +238,9 @@
     out.m_parent_turn = text(names.m_parent_turn);
     if (request.count(names.m_last_event) > 0)
     {
-        out.m_last_event = parse_number(text(names.m_last_event));
-        if (!out.m_last_event)
-            out.m_fault = "the last event's id is no number";
+        out.m_last_event_id = parse_number(text(names.m_last_event));
+        if (!out.m_last_event_id)
+            out.m_error = "the last event's id is no number";
     }
     return out;
 }
@@ -284,21 +284,22 @@
     {
         const auto name = view_of(row.name_string());
         if (is_set_by_system(name, names) ||
-            (attempt.m_withholds_key && names_caller(name, names)) ||
-            (attempt.m_last_event && iequals(name, names.m_last_event)) ||
+            (attempt.m_strips_credentials && names_caller(name, names)) ||
+            (attempt.m_last_event_id && iequals(name, names.m_last_event)) ||
             (is_hop_by_hop(name, connection) && !is_end_to_end(name, names)))
             continue;
         add_line(out, name, view_of(row.value()));
     }
     if (attempt.m_body_bytes > 0 || request.method() != http::verb::get)
         add_line(out, "Content-Length", std::to_string(attempt.m_body_bytes));
-    add_line(out, names.m_deadline, std::to_string(attempt.m_left.count()));
+    add_line(out, names.m_deadline,
+             std::to_string(attempt.m_remaining.count()));
     add_line(out, names.m_expected_runner, attempt.m_runner);
     if (attempt.m_urgency)
         add_line(out, names.m_urgency, std::to_string(*attempt.m_urgency));
-    if (attempt.m_last_event)
+    if (attempt.m_last_event_id)
         add_line(out, names.m_last_event,
-                 std::to_string(*attempt.m_last_event));
+                 std::to_string(*attempt.m_last_event_id));
     if (!attempt.m_workspace.empty())
         add_line(out, names.m_workspace, attempt.m_workspace);
     out += "\r\n";
--- a/src/forward/routing_config.cpp
+++ b/src/forward/routing_config.cpp
@@ -21,8 +21,9 @@
 
 std::string incarnation_of(const runner_info& info)
 {
-    return info.m_born == 0 ? info.m_id
-                            : info.m_id + '@' + std::to_string(info.m_born);
+    return info.m_started_at_ms == 0
+               ? info.m_id
+               : info.m_id + '@' + std::to_string(info.m_started_at_ms);
 }
 
 const route* find_route(const routing_config& config, std::string_view host,
--- a/src/forward/stream_relay.cpp
+++ b/src/forward/stream_relay.cpp
@@ -28,31 +28,31 @@
     : m_resumable(resumable), m_last_event(last_event), m_events(keep_data)
 {}
 
-std::string stream_relay::take(std::string_view bytes)
+std::string stream_relay::consume(std::string_view bytes)
 {
     std::string out;
     if (m_resumable)
     {
-        m_held += bytes;
-        const auto whole = whole_bytes(m_held);
-        out = m_held.substr(0, whole);
-        m_held.erase(0, whole);
+        m_pending += bytes;
+        const auto whole = whole_bytes(m_pending);
+        out = m_pending.substr(0, whole);
+        m_pending.erase(0, whole);
     }
     else
         out = bytes;
-    m_events.take(out);
+    m_events.consume(out);
     return out;
 }
 
-std::string stream_relay::take_rest()
+std::string stream_relay::flush()
 {
-    m_events.take(m_held);
-    return std::exchange(m_held, {});
+    m_events.consume(m_pending);
+    return std::exchange(m_pending, {});
 }
 
-void stream_relay::drop_rest()
+void stream_relay::discard_partial_event()
 {
-    m_held.clear();
+    m_pending.clear();
 }
 
 std::optional<std::uint64_t> stream_relay::last_event() const
--- a/src/forward/traffic_metrics.cpp
+++ b/src/forward/traffic_metrics.cpp
@@ -8,14 +8,14 @@
     m_counters[name] += by;
 }
 
-void traffic_metrics::note_answer(milliseconds took)
+void traffic_metrics::record_response(milliseconds took)
 {
-    m_answers.note(took);
+    m_response_times.note(took);
 }
 
-void traffic_metrics::note_turn_begin(milliseconds took)
+void traffic_metrics::record_turn_begin(milliseconds took)
 {
-    m_turn_begins.note(took);
+    m_turn_begin_times.note(took);
 }
 
 std::string traffic_metrics::text() const
@@ -23,8 +23,8 @@
     std::string out;
     for (const auto& [name, value] : m_counters)
         write_metric(out, name, value);
-    m_answers.write(out, "answer");
-    m_turn_begins.write(out, "turn_begin");
+    m_response_times.write(out, "answer");
+    m_turn_begin_times.write(out, "turn_begin");
     out += m_workspaces.text();
     return out;
 }
--- a/src/forward/upstream_pool.cpp
+++ b/src/forward/upstream_pool.cpp
@@ -69,7 +69,8 @@
         {
             stream.expires_never();
             tune_socket(stream.socket(), runner_silence);
-            bound_buffers(stream.socket(), send_bytes, receive_bytes);
+            bound_buffers(stream.socket(), send_buffer_bytes,
+                          receive_buffer_bytes);
             co_return std::make_shared<upstream_connection>(std::move(stream));
         }
     }
--- a/src/scheduling/admission.cpp
+++ b/src/scheduling/admission.cpp
@@ -53,36 +53,37 @@
 
 } // namespace
 
-call_pace add_call(call_pace pace, double wait_ms, double run_ms)
+call_latency add_call(call_latency pace, double wait_ms, double run_ms)
 {
-    if (pace.m_wait_ms == 0)
+    if (pace.m_first_byte_ms == 0)
         return {wait_ms, wait_ms, run_ms};
-    pace.m_wait_ms = smoothed(pace.m_wait_ms, wait_ms, pace_weight);
+    pace.m_first_byte_ms = smoothed(pace.m_first_byte_ms, wait_ms, pace_weight);
     pace.m_run_ms = smoothed(pace.m_run_ms, run_ms, pace_weight);
-    if (pace.m_wait_ms < pace.m_floor_ms)
-        pace.m_floor_ms =
-            smoothed(pace.m_floor_ms, pace.m_wait_ms, floor_down_weight);
+    if (pace.m_first_byte_ms < pace.m_baseline_ms)
+        pace.m_baseline_ms = smoothed(pace.m_baseline_ms, pace.m_first_byte_ms,
+                                      floor_down_weight);
     else
-        pace.m_floor_ms =
-            std::min(pace.m_wait_ms, pace.m_floor_ms * (1 + floor_up_share));
+        pace.m_baseline_ms = std::min(
+            pace.m_first_byte_ms, pace.m_baseline_ms * (1 + floor_up_share));
     return pace;
 }
 
-double longest_good_wait_ms(const call_pace& pace)
+double max_unqueued_wait_ms(const call_latency& pace)
 {
-    return std::max(queueing_factor * pace.m_floor_ms, least_queueing_ms);
+    return std::max(queueing_factor * pace.m_baseline_ms, least_queueing_ms);
 }
 
-call_limit adjust_limit(call_limit limit, const call_pace& pace,
-                        std::uint32_t under_way)
+concurrency_limit adjust_limit(concurrency_limit limit,
+                               const call_latency& pace,
+                               std::uint32_t under_way)
 {
     const double calls = std::max<double>(under_way, least_limit);
-    const double good_wait = longest_good_wait_ms(pace);
-    const double wanted =
-        calls * (good_wait + pace.m_run_ms) / (pace.m_wait_ms + pace.m_run_ms);
+    const double good_wait = max_unqueued_wait_ms(pace);
+    const double wanted = calls * (good_wait + pace.m_run_ms) /
+                          (pace.m_first_byte_ms + pace.m_run_ms);
     const bool bound = limit.m_limit < std::numeric_limits<double>::infinity();
-    const bool queueing = pace.m_wait_ms > good_wait;
-    if (!bound && pace.m_wait_ms <= onset_factor * good_wait)
+    const bool queueing = pace.m_first_byte_ms > good_wait;
+    if (!bound && pace.m_first_byte_ms <= onset_factor * good_wait)
         return limit;
     // Over one round of all calls: what is sent now shows that much later.
     const double before = bound ? limit.m_limit : calls;
@@ -109,13 +110,13 @@
     return "unknown";
 }
 
-bool goes_before(const waiting_call& left, const waiting_call& right)
+bool precedes(const waiting_call& left, const waiting_call& right)
 {
-    return std::tie(left.m_rank, left.m_number) <
-           std::tie(right.m_rank, right.m_number);
+    return std::tie(left.m_rank, left.m_sequence) <
+           std::tie(right.m_rank, right.m_sequence);
 }
 
-milliseconds wait_patience(call_rank rank,
+milliseconds queue_timeout(call_rank rank,
                            std::optional<milliseconds> program_left,
                            milliseconds call_left)
 {
@@ -127,7 +128,7 @@
     return patience;
 }
 
-drain_rate add_admission(drain_rate rate, instant now)
+admission_rate add_admission(admission_rate rate, instant now)
 {
     const double interval = to_seconds(now - rate.m_last) * ms_per_s;
     const bool fresh =
@@ -142,7 +143,7 @@
     return rate;
 }
 
-milliseconds expected_wait(const drain_rate& rate, std::size_t ahead,
+milliseconds expected_wait(const admission_rate& rate, std::size_t ahead,
                            instant now)
 {
     if (rate.m_last == instant{} || now - rate.m_last > drain_memory)
@@ -153,7 +154,7 @@
         static_cast<std::int64_t>(interval * static_cast<double>(ahead)));
 }
 
-milliseconds come_back_after(milliseconds expected, std::uint64_t draw)
+milliseconds retry_delay(milliseconds expected, std::uint64_t draw)
 {
     const auto base = std::clamp(expected, soonest_come_back, latest_come_back);
     return base + milliseconds(draw % come_back_spread.count());
--- a/src/scheduling/engine_cost.cpp
+++ b/src/scheduling/engine_cost.cpp
@@ -36,13 +36,13 @@
 
 } // namespace
 
-double batch_factor(double beside, std::uint32_t slots)
+double batch_slowdown(double beside, std::uint32_t slots)
 {
     const double most = std::max(slots, 1U);
     return 1 + full_batch_share * std::clamp(beside, 0.0, most) / most;
 }
 
-predicted_run predict_run(const engine_outlook& outlook)
+predicted_run predict_run(const engine_estimate& outlook)
 {
     const std::uint32_t slots = std::max(outlook.m_slots, 1U);
     const double beside = std::min(outlook.m_under_way, slots - 1);
@@ -51,28 +51,29 @@
     if (outlook.m_under_way >= slots)
         queue_ms =
             (outlook.m_under_way - slots + 1.0) * outlook.m_slot_ms / slots;
-    run.m_wait_ms = outlook.m_reading_ms + queue_ms;
-    run.m_read_ms = outlook.m_fresh_tokens * outlook.m_read_token_ms;
-    run.m_generate_ms =
-        outlook.m_tokens * outlook.m_token_ms * batch_factor(beside, slots);
+    run.m_wait_ms = outlook.m_prefill_backlog_ms + queue_ms;
+    run.m_prefill_ms = outlook.m_uncached_tokens * outlook.m_prefill_token_ms;
+    run.m_decode_ms = outlook.m_output_tokens * outlook.m_decode_token_ms *
+                      batch_slowdown(beside, slots);
     const double slower = full_batch_share / slots;
-    run.m_others_ms = read_weight * outlook.m_under_way * run.m_read_ms +
-                      beside * slower * outlook.m_tokens * outlook.m_token_ms +
-                      queue_weight * queue_ms;
+    run.m_interference_ms =
+        read_weight * outlook.m_under_way * run.m_prefill_ms +
+        beside * slower * outlook.m_output_tokens * outlook.m_decode_token_ms +
+        queue_weight * queue_ms;
     return run;
 }
 
-double finish_ms(const predicted_run& run)
+double completion_ms(const predicted_run& run)
 {
-    return run.m_wait_ms + run.m_read_ms + run.m_generate_ms;
+    return run.m_wait_ms + run.m_prefill_ms + run.m_decode_ms;
 }
 
-double engine_cost(const engine_outlook& outlook, const predicted_run& run)
+double engine_cost(const engine_estimate& outlook, const predicted_run& run)
 {
-    const double trouble = std::clamp(outlook.m_trouble, 0.0, most_trouble);
-    double cost = finish_ms(run) + run.m_others_ms;
+    const double trouble = std::clamp(outlook.m_error_rate, 0.0, most_trouble);
+    double cost = completion_ms(run) + run.m_interference_ms;
     // Each failure costs its time, and the call is to be run again.
-    cost += trouble / (1 - trouble) * (failure_ms + finish_ms(run));
+    cost += trouble / (1 - trouble) * (failure_ms + completion_ms(run));
     if (outlook.m_other_zone)
         cost += other_zone_ms;
     if (outlook.m_other_region)
@@ -90,7 +91,7 @@
     return under_way >= 1.0 * std::max(slots, 1U) + spare_calls;
 }
 
-bool is_overfull(std::uint32_t under_way, std::uint32_t slots)
+bool is_overloaded(std::uint32_t under_way, std::uint32_t slots)
 {
     return under_way >= most_calls_a_slot * std::max(slots, 1U) + spare_calls;
 }
--- a/src/scheduling/engine_memory.cpp
+++ b/src/scheduling/engine_memory.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-const held_part* find(const engine_memory& memory, std::uint64_t id)
+const cached_part* find(const engine_cache& memory, std::uint64_t id)
 {
     // What is asked for again was mostly used lately.
     const auto row =
         std::find_if(memory.m_parts.rbegin(), memory.m_parts.rend(),
-                     [id](const held_part& held) { return held.m_id == id; });
+                     [id](const cached_part& held) { return held.m_id == id; });
     return row == memory.m_parts.rend() ? nullptr : &*row;
 }
 
 /// Moves a part to the recently used end.
-void use(engine_memory& memory, const held_part& part)
+void use(engine_cache& memory, const cached_part& part)
 {
-    std::erase_if(memory.m_parts, [&part](const held_part& held) {
+    std::erase_if(memory.m_parts, [&part](const cached_part& held) {
         return held.m_id == part.m_id;
     });
     memory.m_parts.push_back(part);
 }
 
-void drop_oldest(engine_memory& memory, std::uint64_t capacity)
+void drop_oldest(engine_cache& memory, std::uint64_t capacity)
 {
     std::uint64_t tokens = 0;
     std::size_t kept = 0;
@@ -34,7 +34,7 @@
          ++row)
     {
         tokens += row->m_tokens;
-        if (kept == most_memory_rows || (capacity != 0 && tokens > capacity))
+        if (kept == max_cached_parts || (capacity != 0 && tokens > capacity))
             break;
         ++kept;
     }
@@ -45,8 +45,8 @@
 
 } // namespace
 
-std::uint32_t held_tokens(const engine_memory& memory,
-                          const std::vector<prompt_part>& parts)
+std::uint32_t cached_prefix_tokens(const engine_cache& memory,
+                                   const std::vector<prompt_part>& parts)
 {
     // Tokens as told may add up to more than fits.
     std::uint64_t tokens = 0;
@@ -63,7 +63,7 @@
         tokens, std::numeric_limits<std::uint32_t>::max()));
 }
 
-void expect_parts(engine_memory& memory, const std::vector<prompt_part>& parts,
+void expect_parts(engine_cache& memory, const std::vector<prompt_part>& parts,
                   std::uint64_t call, std::uint64_t capacity)
 {
     // From the last to the first: of one prompt the end is dropped first, as
@@ -72,17 +72,17 @@
     {
         const auto* held = find(memory, part->m_id);
         if (held != nullptr && held->m_tokens >= part->m_tokens)
-            use(memory, held_part(*held));
+            use(memory, cached_part(*held));
         else
             use(memory, {.m_id = part->m_id,
                          .m_tokens = part->m_tokens,
-                         .m_expected = true,
+                         .m_unconfirmed = true,
                          .m_call = call});
     }
     drop_oldest(memory, capacity);
 }
 
-void confirm_parts(engine_memory& memory, const std::vector<prompt_part>& parts,
+void confirm_parts(engine_cache& memory, const std::vector<prompt_part>& parts,
                    std::uint64_t capacity)
 {
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
@@ -96,10 +96,10 @@
     drop_oldest(memory, capacity);
 }
 
-void forget_parts(engine_memory& memory, std::uint64_t call)
+void forget_parts(engine_cache& memory, std::uint64_t call)
 {
-    std::erase_if(memory.m_parts, [call](const held_part& held) {
-        return held.m_expected && held.m_call == call;
+    std::erase_if(memory.m_parts, [call](const cached_part& held) {
+        return held.m_unconfirmed && held.m_call == call;
     });
 }
 
--- a/src/scheduling/engine_pace.cpp
+++ b/src/scheduling/engine_pace.cpp
@@ -43,10 +43,10 @@
     return std::max(to_seconds(now - then), 0.0);
 }
 
-double present_lately(const token_pace& pace, instant now)
+double present_lately(const token_latency& pace, instant now)
 {
-    const double fades = 1 + std::min(pace.m_slow_in_row, most_fades);
-    return pace.m_lately *
+    const double fades = 1 + std::min(pace.m_consecutive_slow, most_fades);
+    return pace.m_recent *
            std::exp(-seconds_since(pace.m_last, now) / (fades * fade_s));
 }
 
@@ -75,7 +75,7 @@
     return tracked;
 }
 
-token_pace add_token_time(token_pace pace, double token_ms, instant now)
+token_latency add_token_time(token_latency pace, double token_ms, instant now)
 {
     // Not a number compares false.
     if (!(token_ms >= least_token_ms && token_ms <= most_token_ms))
@@ -86,41 +86,44 @@
     pace.m_last = std::max(pace.m_last, now);
     if (pace.m_samples == 1)
     {
-        pace.m_lasting = seen;
+        pace.m_long_term = seen;
         return pace;
     }
-    const double apart = seen - pace.m_lasting;
+    const double apart = seen - pace.m_long_term;
     const double share =
         std::max(1.0 / static_cast<double>(pace.m_samples), lasting_share);
-    pace.m_lasting += share * std::clamp(apart, -lasting_reach, lasting_reach);
-    pace.m_lately = lately + lately_share * (apart - lately);
-    pace.m_slow_in_row =
-        apart > slow_margin ? std::min(pace.m_slow_in_row + 1, most_fades) : 0;
+    pace.m_long_term +=
+        share * std::clamp(apart, -lasting_reach, lasting_reach);
+    pace.m_recent = lately + lately_share * (apart - lately);
+    pace.m_consecutive_slow =
+        apart > slow_margin ? std::min(pace.m_consecutive_slow + 1, most_fades)
+                            : 0;
     return pace;
 }
 
-double present_token_ms(const token_pace& pace, double usual_ms, instant now)
+double current_token_ms(const token_latency& pace, double usual_ms, instant now)
 {
     if (pace.m_samples == 0)
         return usual_ms;
     const double idle = seconds_since(pace.m_last, now) - idle_s;
     const double kept = idle > 0 ? std::exp(-idle / forget_s) : 1;
     const double usual = std::log(usual_ms);
-    return std::exp(usual + kept * (pace.m_lasting - usual) +
+    return std::exp(usual + kept * (pace.m_long_term - usual) +
                     present_lately(pace, now));
 }
 
-engine_trouble add_end(engine_trouble trouble, bool failed, instant now)
+engine_error_rate add_outcome(engine_error_rate trouble, bool failed,
+                              instant now)
 {
-    trouble.m_share = present_trouble(trouble, now);
-    trouble.m_share += trouble_share * ((failed ? 1 : 0) - trouble.m_share);
+    trouble.m_rate = current_error_rate(trouble, now);
+    trouble.m_rate += trouble_share * ((failed ? 1 : 0) - trouble.m_rate);
     trouble.m_last = std::max(trouble.m_last, now);
     return trouble;
 }
 
-double present_trouble(const engine_trouble& trouble, instant now)
+double current_error_rate(const engine_error_rate& trouble, instant now)
 {
-    return trouble.m_share *
+    return trouble.m_rate *
            std::exp(-seconds_since(trouble.m_last, now) / trouble_fade_s);
 }
 
--- a/src/scheduling/engine_places.cpp
+++ b/src/scheduling/engine_places.cpp
@@ -9,11 +9,11 @@
 
 namespace pepperturn {
 
-struct engine_places::state
+struct engine_placements::state
 {
-    std::unordered_map<std::uint64_t, place_service> m_services;
+    std::unordered_map<std::uint64_t, placement_service> m_services;
     /// Answers to calls of services that were dropped.
-    std::vector<decided_place> m_closed;
+    std::vector<placement_decision> m_closed;
     /// The latest time that was told: none before it is taken.
     instant m_now{};
 
@@ -24,19 +24,20 @@
     }
 };
 
-engine_places::engine_places() : m_state(std::make_unique<state>()) {}
+engine_placements::engine_placements() : m_state(std::make_unique<state>()) {}
 
-engine_places::~engine_places() = default;
+engine_placements::~engine_placements() = default;
 
-void engine_places::follow(std::uint64_t service,
-                           const std::vector<engine_facts>& engines,
-                           instant now)
+void engine_placements::set_engines(std::uint64_t service,
+                                    const std::vector<engine_info>& engines,
+                                    instant now)
 {
     m_state->advance(now);
-    m_state->m_services[service].follow(engines);
+    m_state->m_services[service].set_engines(engines);
 }
 
-void engine_places::retain(const std::vector<std::uint64_t>& services)
+void engine_placements::retain_services(
+    const std::vector<std::uint64_t>& services)
 {
     auto& rows = m_state->m_services;
     for (auto row = rows.begin(); row != rows.end();)
@@ -52,35 +53,36 @@
     }
 }
 
-std::optional<place_answer> engine_places::ask(const place_question& question,
-                                               instant now)
+std::optional<placement_reply>
+engine_placements::request_placement(const placement_request& question,
+                                     instant now)
 {
     const auto row = m_state->m_services.find(question.m_service);
     if (row == m_state->m_services.end())
-        return place_answer{.m_outcome = place_outcome::not_placing};
-    return row->second.ask(question, m_state->advance(now));
+        return placement_reply{.m_outcome = placement_outcome::not_placing};
+    return row->second.request_placement(question, m_state->advance(now));
 }
 
-void engine_places::report(const place_report& report, instant now)
+void engine_placements::report(const placement_report& report, instant now)
 {
     const auto row = m_state->m_services.find(report.m_service);
     if (row != m_state->m_services.end())
         row->second.report(report, m_state->advance(now));
 }
 
-std::vector<decided_place> engine_places::take_decided(instant now)
+std::vector<placement_decision> engine_placements::take_decisions(instant now)
 {
-    std::vector<decided_place> decided;
+    std::vector<placement_decision> decided;
     decided.swap(m_state->m_closed);
     const auto latest = m_state->advance(now);
     for (auto& [hash, service] : m_state->m_services)
-        service.take_decided(latest, decided);
+        service.take_decisions(latest, decided);
     return decided;
 }
 
-void engine_places::write_metrics(std::string& out) const
+void engine_placements::write_metrics(std::string& out) const
 {
-    place_counters sum;
+    placement_counters sum;
     std::uint64_t engines = 0;
     std::uint64_t full = 0;
     std::uint64_t under_way = 0;
@@ -91,7 +93,7 @@
         engines += service.engines().size();
         full += service.full_engines();
         under_way += service.under_way();
-        waiting += service.waiting();
+        waiting += service.queued();
     }
     write_metric(out, "places_engines", engines);
     write_metric(out, "places_engines_full", full);
@@ -110,31 +112,31 @@
     write_metric(out, "places_not_run_total", sum.m_not_run);
 }
 
-const char* to_string(place_outcome outcome)
+const char* to_string(placement_outcome outcome)
 {
     switch (outcome)
     {
-    case place_outcome::placed:
+    case placement_outcome::placed:
         return "placed";
-    case place_outcome::waiting:
+    case placement_outcome::waiting:
         return "waiting";
-    case place_outcome::no_room:
+    case placement_outcome::no_room:
         return "no_room";
-    case place_outcome::not_placing:
+    case placement_outcome::not_placing:
         return "not_placing";
     }
     return "unknown";
 }
 
-const char* to_string(place_end end)
+const char* to_string(placement_end end)
 {
     switch (end)
     {
-    case place_end::whole:
+    case placement_end::whole:
         return "whole";
-    case place_end::broken:
+    case placement_end::broken:
         return "broken";
-    case place_end::not_run:
+    case placement_end::not_run:
         return "not_run";
     }
     return "unknown";
--- a/src/scheduling/engine_record.cpp
+++ b/src/scheduling/engine_record.cpp
@@ -55,30 +55,30 @@
     return std::max(to_seconds(now - then) * 1e3, 0.0);
 }
 
-double read_token_ms(const engine_record& engine, const service_norm& norm,
+double read_token_ms(const engine_record& engine, const service_profile& norm,
                      double token_ms, instant now)
 {
-    const double usual = usual_read_token_ms(norm);
+    const double usual = typical_prefill_token_ms(norm);
     // An engine that generates slowly reads slowly.
-    const double slowness = token_ms / usual_token_ms(norm);
-    if (engine.m_reading.m_samples == 0)
+    const double slowness = token_ms / typical_decode_token_ms(norm);
+    if (engine.m_prefill.m_samples == 0)
         return usual * slowness;
-    return present_token_ms(engine.m_reading, usual * slowness, now);
+    return current_token_ms(engine.m_prefill, usual * slowness, now);
 }
 
-double slowest_token_ms(const engine_record& engine, const service_norm& norm,
-                        instant now)
+double slowest_token_ms(const engine_record& engine,
+                        const service_profile& norm, instant now)
 {
     const double told =
-        present_token_ms(engine.m_generating, usual_token_ms(norm), now);
+        current_token_ms(engine.m_decode, typical_decode_token_ms(norm), now);
     const double overdue = overdue_factor(engine, now);
     if (overdue <= 1)
         return told;
     const double lasting =
-        present_token_ms({.m_lasting = engine.m_generating.m_lasting,
-                          .m_samples = engine.m_generating.m_samples,
+        current_token_ms({.m_long_term = engine.m_decode.m_long_term,
+                          .m_samples = engine.m_decode.m_samples,
                           .m_last = now},
-                         usual_token_ms(norm), now);
+                         typical_decode_token_ms(norm), now);
     return std::max(told, lasting * overdue);
 }
 
@@ -86,91 +86,97 @@
 std::uint32_t believable_tokens(const engine_record& engine,
                                 std::uint32_t prompt_tokens)
 {
-    const auto capacity = engine.m_facts.m_token_capacity;
+    const auto capacity = engine.m_info.m_token_capacity;
     const std::uint64_t most = capacity == 0 ? most_prompt_tokens : capacity;
     return static_cast<std::uint32_t>(
         std::min<std::uint64_t>(prompt_tokens, most));
 }
 
-void learn_reading(engine_record& engine, service_norm& norm,
-                   const running_call& call, const place_report& report,
+void learn_reading(engine_record& engine, service_profile& norm,
+                   const running_call& call, const placement_report& report,
                    instant now)
 {
     // The wait for a slot or for other prompts tells nothing of its own.
     if (call.m_wait_ms > short_wait_ms)
         return;
     const double first_byte = report.m_first_byte_ms;
-    if (call.m_fresh_tokens < short_read_tokens)
+    if (call.m_uncached_tokens < short_read_tokens)
         norm.m_first_byte_ms = add_value(norm.m_first_byte_ms, first_byte, 0.5);
-    if (call.m_fresh_tokens < long_read_tokens)
+    if (call.m_uncached_tokens < long_read_tokens)
         return;
     const double reading = first_byte - norm.m_first_byte_ms.m_value;
-    const double token_ms = reading / call.m_fresh_tokens;
-    norm.m_read_token_ms = add_value(norm.m_read_token_ms, token_ms, 0.5);
-    engine.m_reading = add_token_time(engine.m_reading, token_ms, now);
+    const double token_ms = reading / call.m_uncached_tokens;
+    norm.m_prefill_token_ms = add_value(norm.m_prefill_token_ms, token_ms, 0.5);
+    engine.m_prefill = add_token_time(engine.m_prefill, token_ms, now);
 }
 
-void learn_generating(engine_record& engine, service_norm& norm,
-                      const running_call& call, const place_report& report,
+void learn_generating(engine_record& engine, service_profile& norm,
+                      const running_call& call, const placement_report& report,
                       instant now)
 {
-    if (report.m_run_ms == 0 || report.m_tokens == 0)
+    if (report.m_run_ms == 0 || report.m_output_tokens == 0)
         return;
     // Prompts of others that were read meanwhile stopped it.
     const double stopped = std::max(
-        engine.m_total_read_ms - call.m_total_read_ms - call.m_read_ms, 0.0);
+        engine.m_total_prefill_ms - call.m_total_prefill_ms - call.m_prefill_ms,
+        0.0);
     const double run =
         std::max(report.m_run_ms - stopped, least_generating * report.m_run_ms);
     const auto at_end = static_cast<double>(engine.m_calls.size());
-    const double beside = (call.m_beside + at_end) / 2;
-    const double token_ms =
-        run / report.m_tokens / batch_factor(beside, engine.m_facts.m_slots);
-    norm.m_token_ms = add_value(norm.m_token_ms, token_ms, 0.5);
-    engine.m_generating = add_token_time(engine.m_generating, token_ms, now);
+    const double beside = (call.m_concurrent + at_end) / 2;
+    const double token_ms = run / report.m_output_tokens /
+                            batch_slowdown(beside, engine.m_info.m_slots);
+    norm.m_decode_token_ms = add_value(norm.m_decode_token_ms, token_ms, 0.5);
+    engine.m_decode = add_token_time(engine.m_decode, token_ms, now);
 }
 
-bool is_sane(const place_report& report)
+bool is_sane(const placement_report& report)
 {
     return report.m_first_byte_ms <= most_report_ms &&
            report.m_run_ms <= most_report_ms &&
-           report.m_tokens <= most_report_tokens;
+           report.m_output_tokens <= most_report_tokens;
 }
 
 } // namespace
 
-double usual_token_ms(const service_norm& norm)
+double typical_decode_token_ms(const service_profile& norm)
 {
-    return norm.m_token_ms.m_samples == 0 ? first_token_ms
-                                          : norm.m_token_ms.m_value;
+    return norm.m_decode_token_ms.m_samples == 0
+               ? first_token_ms
+               : norm.m_decode_token_ms.m_value;
 }
 
-double usual_read_token_ms(const service_norm& norm)
+double typical_prefill_token_ms(const service_profile& norm)
 {
-    return norm.m_read_token_ms.m_samples == 0 ? first_read_token_ms
-                                               : norm.m_read_token_ms.m_value;
+    return norm.m_prefill_token_ms.m_samples == 0
+               ? first_read_token_ms
+               : norm.m_prefill_token_ms.m_value;
 }
 
-double usual_slot_ms(const service_norm& norm)
+double typical_slot_ms(const service_profile& norm)
 {
     return norm.m_slot_ms.m_samples == 0 ? first_slot_ms
                                          : norm.m_slot_ms.m_value;
 }
 
-double usual_tokens(const service_norm& norm, std::uint32_t most)
+double typical_output_tokens(const service_profile& norm, std::uint32_t most)
 {
-    const double tokens =
-        norm.m_tokens.m_samples == 0 ? first_tokens : norm.m_tokens.m_value;
+    const double tokens = norm.m_output_tokens.m_samples == 0
+                              ? first_tokens
+                              : norm.m_output_tokens.m_value;
     return most == 0 ? tokens : std::min<double>(tokens, most);
 }
 
-double expected_tokens(const service_norm& norm, const place_question& question)
+double expected_output_tokens(const service_profile& norm,
+                              const placement_request& question)
 {
-    if (question.m_expected_tokens == 0)
-        return usual_tokens(norm, question.m_most_tokens);
+    if (question.m_expected_output_tokens == 0)
+        return typical_output_tokens(norm, question.m_max_output_tokens);
     // A caller knows what it asks for better than the mean of all calls does.
-    return question.m_most_tokens == 0
-               ? question.m_expected_tokens
-               : std::min(question.m_expected_tokens, question.m_most_tokens);
+    return question.m_max_output_tokens == 0
+               ? question.m_expected_output_tokens
+               : std::min(question.m_expected_output_tokens,
+                          question.m_max_output_tokens);
 }
 
 double overdue_factor(const engine_record& engine, instant now)
@@ -178,96 +184,103 @@
     double factor = 1;
     // The last one stands at the end.
     if (engine.m_calls.empty() ||
-        now - engine.m_calls.back().m_since > overdue_trial)
+        now - engine.m_calls.back().m_started > overdue_trial)
         return factor;
     for (const auto& call : engine.m_calls)
     {
         // A call that came later has ended: this one is merely long, or its
         // end was not told.
-        if (call.m_since < engine.m_proven_since || call.m_long_ms <= 0)
+        if (call.m_started < engine.m_last_completed_start ||
+            call.m_expected_long_ms <= 0)
             continue;
-        const double elapsed = milliseconds_since(call.m_since, now);
-        if (elapsed > overdue_share * call.m_long_ms + overdue_ms)
+        const double elapsed = milliseconds_since(call.m_started, now);
+        if (elapsed > overdue_share * call.m_expected_long_ms + overdue_ms)
             factor = std::max(factor, elapsed / call.m_expected_ms);
     }
     return std::min(factor, most_overdue);
 }
 
-engine_outlook look_at_engine(const engine_record& engine,
-                              const service_norm& norm,
-                              const place_question& question, instant now)
+engine_estimate estimate_engine(const engine_record& engine,
+                                const service_profile& norm,
+                                const placement_request& question, instant now)
 {
-    engine_outlook outlook;
+    engine_estimate outlook;
     outlook.m_under_way = static_cast<std::uint32_t>(engine.m_calls.size());
-    outlook.m_slots = engine.m_facts.m_slots;
-    const auto held = held_tokens(engine.m_memory, question.m_parts);
+    outlook.m_slots = engine.m_info.m_slots;
+    const auto held = cached_prefix_tokens(engine.m_cache, question.m_parts);
     const auto prompt = believable_tokens(engine, question.m_prompt_tokens);
     outlook.m_cached_tokens = std::min(held, prompt);
-    outlook.m_fresh_tokens = prompt - outlook.m_cached_tokens;
-    outlook.m_tokens = expected_tokens(norm, question);
-    outlook.m_token_ms = slowest_token_ms(engine, norm, now);
-    outlook.m_read_token_ms =
-        read_token_ms(engine, norm, outlook.m_token_ms, now);
-    outlook.m_reading_ms = milliseconds_since(now, engine.m_reading_until);
-    outlook.m_slot_ms = usual_slot_ms(norm);
-    outlook.m_trouble = present_trouble(engine.m_trouble, now);
+    outlook.m_uncached_tokens = prompt - outlook.m_cached_tokens;
+    outlook.m_output_tokens = expected_output_tokens(norm, question);
+    outlook.m_decode_token_ms = slowest_token_ms(engine, norm, now);
+    outlook.m_prefill_token_ms =
+        read_token_ms(engine, norm, outlook.m_decode_token_ms, now);
+    outlook.m_prefill_backlog_ms =
+        milliseconds_since(now, engine.m_prefill_until);
+    outlook.m_slot_ms = typical_slot_ms(norm);
+    outlook.m_error_rate = current_error_rate(engine.m_error_rate, now);
     outlook.m_other_zone =
-        engine.m_facts.m_availability_zone != question.m_availability_zone;
+        engine.m_info.m_availability_zone != question.m_availability_zone;
     outlook.m_other_region = outlook.m_other_zone &&
-                             !engine.m_facts.m_region.empty() &&
+                             !engine.m_info.m_region.empty() &&
                              !question.m_region.empty() &&
-                             engine.m_facts.m_region != question.m_region;
+                             engine.m_info.m_region != question.m_region;
     return outlook;
 }
 
-bool is_shunned(const engine_outlook& outlook, const service_norm& norm)
+bool is_deprioritised(const engine_estimate& outlook,
+                      const service_profile& norm)
 {
-    return outlook.m_token_ms > shunned_slowness * usual_token_ms(norm) ||
-           outlook.m_trouble > shunned_trouble;
+    return outlook.m_decode_token_ms >
+               shunned_slowness * typical_decode_token_ms(norm) ||
+           outlook.m_error_rate > shunned_trouble;
 }
 
-bool is_cold_full(const engine_record& engine, instant now)
+bool is_cold_limited(const engine_record& engine, instant now)
 {
-    const auto& facts = engine.m_facts;
+    const auto& facts = engine.m_info;
     return facts.m_cold_per_s > 0 && now < facts.m_cold_until &&
-           now - engine.m_cold.m_since < cold_span &&
-           engine.m_cold.m_calls + 1 > facts.m_cold_per_s;
+           now - engine.m_cold_window.m_began < cold_span &&
+           engine.m_cold_window.m_calls + 1 > facts.m_cold_per_s;
 }
 
-void start_call(engine_record& engine, const service_norm& norm,
-                const place_question& question, const engine_outlook& outlook,
-                instant now)
+void start_call(engine_record& engine, const service_profile& norm,
+                const placement_request& question,
+                const engine_estimate& outlook, instant now)
 {
     const auto run = predict_run(outlook);
     running_call call;
     call.m_call = question.m_call;
-    call.m_since = now;
+    call.m_started = now;
     call.m_parts = question.m_parts;
-    call.m_parts.resize(std::min(call.m_parts.size(), most_prompt_parts));
-    call.m_fresh_tokens = outlook.m_fresh_tokens;
-    call.m_beside = outlook.m_under_way;
+    call.m_parts.resize(std::min(call.m_parts.size(), max_prompt_parts));
+    call.m_uncached_tokens = outlook.m_uncached_tokens;
+    call.m_concurrent = outlook.m_under_way;
     call.m_wait_ms = run.m_wait_ms;
-    call.m_read_ms = run.m_read_ms;
-    call.m_expected_ms = finish_ms(run) + norm.m_first_byte_ms.m_value;
-    if (norm.m_tokens.m_samples >= enough_calls)
+    call.m_prefill_ms = run.m_prefill_ms;
+    call.m_expected_ms = completion_ms(run) + norm.m_first_byte_ms.m_value;
+    if (norm.m_output_tokens.m_samples >= enough_calls)
     {
-        const double more =
-            std::max(norm.m_long_tokens.m_value / norm.m_tokens.m_value, 1.0);
-        call.m_long_ms = call.m_expected_ms + (more - 1) * run.m_generate_ms;
+        const double more = std::max(norm.m_long_output_tokens.m_value /
+                                         norm.m_output_tokens.m_value,
+                                     1.0);
+        call.m_expected_long_ms =
+            call.m_expected_ms + (more - 1) * run.m_decode_ms;
     }
-    if (now - engine.m_cold.m_since >= cold_span)
-        engine.m_cold = {now, 0};
-    ++engine.m_cold.m_calls;
-    engine.m_total_read_ms += run.m_read_ms;
-    call.m_total_read_ms = engine.m_total_read_ms;
-    engine.m_reading_until = std::max(engine.m_reading_until, now) +
-                             from_seconds(run.m_read_ms / 1e3);
-    expect_parts(engine.m_memory, call.m_parts, question.m_call,
-                 engine.m_facts.m_token_capacity);
+    if (now - engine.m_cold_window.m_began >= cold_span)
+        engine.m_cold_window = {now, 0};
+    ++engine.m_cold_window.m_calls;
+    engine.m_total_prefill_ms += run.m_prefill_ms;
+    call.m_total_prefill_ms = engine.m_total_prefill_ms;
+    engine.m_prefill_until = std::max(engine.m_prefill_until, now) +
+                             from_seconds(run.m_prefill_ms / 1e3);
+    expect_parts(engine.m_cache, call.m_parts, question.m_call,
+                 engine.m_info.m_token_capacity);
     engine.m_calls.push_back(std::move(call));
 }
 
-std::optional<running_call> take_call(engine_record& engine, std::uint64_t call)
+std::optional<running_call> remove_running_call(engine_record& engine,
+                                                std::uint64_t call)
 {
     const auto row = std::find_if(
         engine.m_calls.begin(), engine.m_calls.end(),
@@ -278,42 +291,43 @@
     engine.m_calls.erase(row);
     // Nothing is read by an engine without calls.
     if (engine.m_calls.empty())
-        engine.m_reading_until = {};
+        engine.m_prefill_until = {};
     return taken;
 }
 
-void learn_end(engine_record& engine, service_norm& norm,
-               const running_call& call, const place_report& report,
-               instant now)
+void learn_from_end(engine_record& engine, service_profile& norm,
+                    const running_call& call, const placement_report& report,
+                    instant now)
 {
-    engine.m_trouble =
-        add_end(engine.m_trouble, report.m_end != place_end::whole, now);
-    if (report.m_end != place_end::whole)
+    engine.m_error_rate = add_outcome(
+        engine.m_error_rate, report.m_end != placement_end::whole, now);
+    if (report.m_end != placement_end::whole)
     {
-        forget_parts(engine.m_memory, call.m_call);
+        forget_parts(engine.m_cache, call.m_call);
         return;
     }
-    confirm_parts(engine.m_memory, call.m_parts,
-                  engine.m_facts.m_token_capacity);
-    engine.m_proven_since = std::max(engine.m_proven_since, call.m_since);
+    confirm_parts(engine.m_cache, call.m_parts, engine.m_info.m_token_capacity);
+    engine.m_last_completed_start =
+        std::max(engine.m_last_completed_start, call.m_started);
     if (!is_sane(report))
         return;
     learn_reading(engine, norm, call, report, now);
     learn_generating(engine, norm, call, report, now);
-    norm.m_tokens = add_value(norm.m_tokens, report.m_tokens, 0.5);
-    norm.m_long_tokens =
-        add_value(norm.m_long_tokens, report.m_tokens, long_quantile);
+    norm.m_output_tokens =
+        add_value(norm.m_output_tokens, report.m_output_tokens, 0.5);
+    norm.m_long_output_tokens = add_value(
+        norm.m_long_output_tokens, report.m_output_tokens, long_quantile);
     norm.m_slot_ms = add_value(
         norm.m_slot_ms, 1.0 * report.m_first_byte_ms + report.m_run_ms, 0.5);
 }
 
-std::vector<running_call> take_lost_calls(engine_record& engine, instant now)
+std::vector<running_call> remove_lost_calls(engine_record& engine, instant now)
 {
     std::vector<running_call> lost;
     const auto is_lost = [now](const running_call& call) {
         const auto expected =
             from_seconds(lost_share * call.m_expected_ms / 1e3);
-        return now - call.m_since >
+        return now - call.m_started >
                std::max<microseconds>(lost_after, expected);
     };
     for (auto& call : engine.m_calls)
--- a/src/scheduling/place_line.cpp
+++ b/src/scheduling/place_line.cpp
@@ -25,13 +25,13 @@
 constexpr double most_work_ms = 60'000;
 
 /// Calls go in the order of this time.
-instant order_time(const line_entry& entry)
+instant order_time(const queued_call& entry)
 {
-    return entry.m_since + static_cast<int>(entry.m_rank) * rank_head_start +
+    return entry.m_enqueued + static_cast<int>(entry.m_rank) * rank_head_start +
            std::min(entry.m_priority, lowest_priority) * priority_head_start;
 }
 
-double work_of(const line_entry& entry)
+double work_of(const queued_call& entry)
 {
     // Not a number compares false.
     if (!(entry.m_work_ms >= least_work_ms))
@@ -39,59 +39,60 @@
     return std::min(entry.m_work_ms, most_work_ms);
 }
 
-const workspace_line* find_line(const place_line& line, std::uint64_t workspace)
+const workspace_queue* find_line(const placement_queue& line,
+                                 std::uint64_t workspace)
 {
     const auto row =
         std::find_if(line.m_workspaces.begin(), line.m_workspaces.end(),
-                     [workspace](const workspace_line& each) {
+                     [workspace](const workspace_queue& each) {
                          return each.m_workspace == workspace;
                      });
     return row == line.m_workspaces.end() ? nullptr : &*row;
 }
 
-void drop_empty(place_line& line)
+void drop_empty(placement_queue& line)
 {
-    std::erase_if(line.m_workspaces, [](const workspace_line& row) {
-        return row.m_entries.empty();
+    std::erase_if(line.m_workspaces, [](const workspace_queue& row) {
+        return row.m_calls.empty();
     });
 }
 
 } // namespace
 
-bool is_begun(const line_entry& entry)
+bool has_begun_program(const queued_call& entry)
 {
     return entry.m_rank != call_rank::first;
 }
 
-bool goes_before(const line_entry& left, const line_entry& right)
+bool precedes(const queued_call& left, const queued_call& right)
 {
     return order_time(left) < order_time(right);
 }
 
-void add_waiting(place_line& line, const line_entry& entry)
+void enqueue_call(placement_queue& line, const queued_call& entry)
 {
     auto row = std::find_if(line.m_workspaces.begin(), line.m_workspaces.end(),
-                            [&entry](const workspace_line& each) {
+                            [&entry](const workspace_queue& each) {
                                 return each.m_workspace == entry.m_workspace;
                             });
     if (row == line.m_workspaces.end())
         row = line.m_workspaces.insert(
-            row, {entry.m_workspace, 0, {.m_last = entry.m_since}, {}});
+            row, {entry.m_workspace, 0, {.m_last = entry.m_enqueued}, {}});
     const auto at =
-        std::upper_bound(row->m_entries.begin(), row->m_entries.end(), entry,
-                         [](const line_entry& left, const line_entry& right) {
-                             return goes_before(left, right);
+        std::upper_bound(row->m_calls.begin(), row->m_calls.end(), entry,
+                         [](const queued_call& left, const queued_call& right) {
+                             return precedes(left, right);
                          });
-    row->m_entries.insert(at, entry);
+    row->m_calls.insert(at, entry);
     ++line.m_size;
 }
 
-bool remove_waiting(place_line& line, std::uint64_t call)
+bool remove_queued(placement_queue& line, std::uint64_t call)
 {
     for (auto& row : line.m_workspaces)
     {
         const auto found =
-            std::erase_if(row.m_entries, [call](const line_entry& entry) {
+            std::erase_if(row.m_calls, [call](const queued_call& entry) {
                 return entry.m_call == call;
             });
         if (found == 0)
@@ -103,47 +104,47 @@
     return false;
 }
 
-const line_entry* next_waiting(place_line& line)
+const queued_call* next_queued(placement_queue& line)
 {
     if (line.m_workspaces.empty())
         return nullptr;
     while (true)
     {
         auto& row = line.m_workspaces.front();
-        if (row.m_credit_ms >= work_of(row.m_entries.front()))
-            return &row.m_entries.front();
+        if (row.m_deficit_ms >= work_of(row.m_calls.front()))
+            return &row.m_calls.front();
         // Its turn is over; what it has left counts in the next.
-        row.m_credit_ms += turn_ms;
+        row.m_deficit_ms += turn_ms;
         std::rotate(line.m_workspaces.begin(), line.m_workspaces.begin() + 1,
                     line.m_workspaces.end());
     }
 }
 
-void drop_next(place_line& line, instant now)
+void dequeue_next(placement_queue& line, instant now)
 {
-    if (next_waiting(line) == nullptr)
+    if (next_queued(line) == nullptr)
         return;
     auto& row = line.m_workspaces.front();
-    row.m_credit_ms -= work_of(row.m_entries.front());
-    if (!is_begun(row.m_entries.front()))
-        row.m_opening = add_admission(row.m_opening, now);
-    row.m_entries.erase(row.m_entries.begin());
+    row.m_deficit_ms -= work_of(row.m_calls.front());
+    if (!has_begun_program(row.m_calls.front()))
+        row.m_first_call_rate = add_admission(row.m_first_call_rate, now);
+    row.m_calls.erase(row.m_calls.begin());
     --line.m_size;
     drop_empty(line);
 }
 
-std::vector<line_entry> take_expired(place_line& line, instant now)
+std::vector<queued_call> remove_expired(placement_queue& line, instant now)
 {
-    std::vector<line_entry> expired;
+    std::vector<queued_call> expired;
     for (auto& row : line.m_workspaces)
     {
-        for (const auto& entry : row.m_entries)
+        for (const auto& entry : row.m_calls)
         {
-            if (entry.m_until <= now)
+            if (entry.m_deadline <= now)
                 expired.push_back(entry);
         }
-        std::erase_if(row.m_entries, [now](const line_entry& entry) {
-            return entry.m_until <= now;
+        std::erase_if(row.m_calls, [now](const queued_call& entry) {
+            return entry.m_deadline <= now;
         });
     }
     line.m_size -= expired.size();
@@ -151,18 +152,18 @@
     return expired;
 }
 
-double work_before(const place_line& line, const line_entry& entry,
-                   bool begun_only)
+double work_ahead(const placement_queue& line, const queued_call& entry,
+                  bool begun_only)
 {
-    const auto counts = [begun_only](const line_entry& row) {
-        return !begun_only || is_begun(row);
+    const auto counts = [begun_only](const queued_call& row) {
+        return !begun_only || has_begun_program(row);
     };
     double own = work_of(entry);
     if (const auto* row = find_line(line, entry.m_workspace))
     {
-        for (const auto& before : row->m_entries)
+        for (const auto& before : row->m_calls)
         {
-            if (counts(before) && !goes_before(entry, before))
+            if (counts(before) && !precedes(entry, before))
                 own += work_of(before);
         }
     }
@@ -173,7 +174,7 @@
         if (row.m_workspace == entry.m_workspace)
             continue;
         double others = 0;
-        for (const auto& before : row.m_entries)
+        for (const auto& before : row.m_calls)
         {
             if (others >= own)
                 break;
@@ -184,21 +185,21 @@
     return all - work_of(entry);
 }
 
-double expected_line_wait(const place_line& line, const line_entry& entry,
-                          double places, instant now)
+double expected_queue_wait(const placement_queue& line,
+                           const queued_call& entry, double places, instant now)
 {
-    const bool begun = is_begun(entry);
+    const bool begun = has_begun_program(entry);
     const double by_work =
-        work_before(line, entry, begun) / std::max(places, 1.0);
+        work_ahead(line, entry, begun) / std::max(places, 1.0);
     const auto* row = find_line(line, entry.m_workspace);
     if (begun || row == nullptr)
         return by_work;
     const auto ahead = static_cast<std::size_t>(std::count_if(
-        row->m_entries.begin(), row->m_entries.end(),
-        [&entry](const line_entry& before) {
-            return !is_begun(before) && !goes_before(entry, before);
+        row->m_calls.begin(), row->m_calls.end(),
+        [&entry](const queued_call& before) {
+            return !has_begun_program(before) && !precedes(entry, before);
         }));
-    const auto by_rate = expected_wait(row->m_opening, ahead, now);
+    const auto by_rate = expected_wait(row->m_first_call_rate, ahead, now);
     return std::max(by_work, rate_share * static_cast<double>(by_rate.count()));
 }
 
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-double placement_cost(const placement_candidate& row)
+double runner_cost(const runner_candidate& row)
 {
     double cost = row.m_load;
     if (row.m_other_zone)
@@ -47,30 +47,31 @@
         cost += other_region_load;
     if (row.m_connected)
         cost -= open_connection_load;
-    if (row.m_has_prompt)
+    if (row.m_has_cached_prompt)
         cost -= prompt_load + other_zone_load;
     cost += slow_load * std::max(row.m_slowness - slow_margin, 0.0);
-    cost += trouble_load * row.m_trouble;
-    if (row.m_shares_part)
+    cost += trouble_load * row.m_error_rate;
+    if (row.m_has_shared_part)
         cost -= shared_part_load;
     if (row.m_cold)
         cost += cold_load;
-    if (row.m_avoided)
+    if (row.m_deprioritised)
         cost += avoided_load;
     return cost;
 }
 
 std::optional<std::size_t>
-choose_placement(const std::vector<placement_candidate>& candidates)
+select_runner(const std::vector<runner_candidate>& candidates)
 {
     std::optional<std::size_t> best;
     double best_cost = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i)
     {
-        const double cost = placement_cost(candidates[i]);
-        if (best && (cost > best_cost ||
-                     (cost == best_cost &&
-                      candidates[i].m_draw >= candidates[*best].m_draw)))
+        const double cost = runner_cost(candidates[i]);
+        if (best &&
+            (cost > best_cost ||
+             (cost == best_cost && candidates[i].m_random_tiebreak >=
+                                       candidates[*best].m_random_tiebreak)))
             continue;
         best = i;
         best_cost = cost;
--- a/src/scheduling/prompt_home.cpp
+++ b/src/scheduling/prompt_home.cpp
@@ -5,15 +5,15 @@
 
 namespace pepperturn {
 
-std::optional<prompt_place>
-find_prompt_home(const std::vector<prompt_part>& parts,
-                 const std::vector<prompt_place>& places)
+std::optional<prompt_location>
+find_cached_prompt(const std::vector<prompt_part>& parts,
+                   const std::vector<prompt_location>& places)
 {
     // A part further back covers less of the prompt: a sub-agent's first
     // turn finds its parent's, its later ones their own.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
     {
-        std::optional<prompt_place> best;
+        std::optional<prompt_location> best;
         for (const auto& place : places)
         {
             if (place.m_part != part->m_id || place.m_runner == 0)
--- a/src/scheduling/read_pressure.cpp
+++ b/src/scheduling/read_pressure.cpp
@@ -60,7 +60,7 @@
 
 } // namespace
 
-std::uint64_t held_bound(std::uint32_t memory_mb)
+std::uint64_t buffer_limit(std::uint32_t memory_mb)
 {
     if (memory_mb == 0)
         return usual_bound;
@@ -102,13 +102,13 @@
     return out;
 }
 
-std::uint64_t room_limit(room_use use, std::uint64_t bound)
+std::uint64_t reservation_limit(memory_use use, std::uint64_t bound)
 {
-    return use == room_use::delivery ? bound : share_of(work_share, bound);
+    return use == memory_use::delivery ? bound : share_of(work_share, bound);
 }
 
-bool may_gather_on(pressure_level level, std::uint64_t committed,
-                   std::uint64_t bound, std::uint64_t more, bool first)
+bool may_buffer_more(pressure_level level, std::uint64_t committed,
+                     std::uint64_t bound, std::uint64_t more, bool first)
 {
     if (first)
         return committed + more <= share_of(gather_share, bound);
@@ -126,22 +126,23 @@
     return level < pressure_level::refusing && held + body <= bound;
 }
 
-double reading_pace(const unread_answer& answer)
+double read_rate(const unread_response& answer)
 {
     if (answer.m_idle >= slow_after)
         return 0;
     const auto waited = std::max(answer.m_waited, milliseconds(1));
-    return static_cast<double>(answer.m_taken) / to_seconds(waited);
+    return static_cast<double>(answer.m_consumed) / to_seconds(waited);
 }
 
-bool is_slow_reader(const unread_answer& answer)
+bool is_slow_reader(const unread_response& answer)
 {
     return answer.m_waited >= slow_after &&
-           reading_pace(answer) < slow_bytes_per_s;
+           read_rate(answer) < slow_bytes_per_s;
 }
 
-std::vector<std::size_t> choose_cuts(const std::vector<unread_answer>& answers,
-                                     std::uint64_t held, std::uint64_t bound)
+std::vector<std::size_t>
+choose_aborts(const std::vector<unread_response>& answers, std::uint64_t held,
+              std::uint64_t bound)
 {
     std::vector<std::size_t> out;
     for (std::size_t i = 0; i < answers.size(); ++i)
@@ -152,17 +153,18 @@
     std::sort(out.begin(), out.end(), [&](std::size_t left, std::size_t right) {
         const auto& a = answers[left];
         const auto& b = answers[right];
-        const auto pace_a = reading_pace(a);
-        const auto pace_b = reading_pace(b);
+        const auto pace_a = read_rate(a);
+        const auto pace_b = read_rate(b);
         if (pace_a != pace_b)
             return pace_a < pace_b;
         // Among equals the fewest cuts.
-        return a.m_held != b.m_held ? a.m_held > b.m_held : left < right;
+        return a.m_buffered != b.m_buffered ? a.m_buffered > b.m_buffered
+                                            : left < right;
     });
     const auto target = cut_target(bound);
     std::size_t count = 0;
     while (count < out.size() && held > target)
-        held -= std::min(held, answers[out[count++]].m_held);
+        held -= std::min(held, answers[out[count++]].m_buffered);
     out.resize(count);
     return out;
 }
--- a/src/scheduling/second_try.cpp
+++ b/src/scheduling/second_try.cpp
@@ -33,12 +33,13 @@
 {
     const auto value = std::max(1.0, static_cast<double>(took.count()));
     const auto index = std::ceil(std::log(value) / std::log(class_step));
-    return std::min(answer_times::classes - 1, static_cast<std::size_t>(index));
+    return std::min(response_times::buckets - 1,
+                    static_cast<std::size_t>(index));
 }
 
 } // namespace
 
-answer_times add_answer(answer_times times, milliseconds took)
+response_times add_response_time(response_times times, milliseconds took)
 {
     for (auto& weight : times.m_weights)
         weight *= fade;
@@ -47,49 +48,49 @@
     return times;
 }
 
-milliseconds answer_quantile(const answer_times& times, double share)
+milliseconds response_time_quantile(const response_times& times, double share)
 {
     if (times.m_sum <= 0)
         return milliseconds(0);
     double left = share * times.m_sum;
     std::size_t index = 0;
-    while (index + 1 < answer_times::classes &&
+    while (index + 1 < response_times::buckets &&
            left > times.m_weights.at(index))
         left -= times.m_weights.at(index++);
     return milliseconds(static_cast<std::int64_t>(
         std::ceil(std::pow(class_step, static_cast<double>(index)))));
 }
 
-std::optional<milliseconds> second_try_wait(const answer_times& times)
+std::optional<milliseconds> retry_timeout(const response_times& times)
 {
     if (times.m_sum < least_known)
         return std::nullopt;
     constexpr double half = 0.5;
     return std::max({least_wait,
-                     usual_factor * answer_quantile(times, usual_share),
-                     median_factor * answer_quantile(times, half)});
+                     usual_factor * response_time_quantile(times, usual_share),
+                     median_factor * response_time_quantile(times, half)});
 }
 
-try_budget earn_try(try_budget budget)
+retry_budget earn_retry(retry_budget budget)
 {
-    budget.m_tries = std::min(most_tries, budget.m_tries + tries_per_call);
+    budget.m_retries = std::min(most_tries, budget.m_retries + tries_per_call);
     return budget;
 }
 
-bool may_try_again(const try_budget& budget)
+bool retry_allowed(const retry_budget& budget)
 {
-    return budget.m_tries >= 1;
+    return budget.m_retries >= 1;
 }
 
-try_budget spend_try(try_budget budget)
+retry_budget spend_retry(retry_budget budget)
 {
-    budget.m_tries -= 1;
+    budget.m_retries -= 1;
     return budget;
 }
 
-try_budget return_try(try_budget budget)
+retry_budget refund_retry(retry_budget budget)
 {
-    budget.m_tries = std::min(most_tries, budget.m_tries + 1);
+    budget.m_retries = std::min(most_tries, budget.m_retries + 1);
     return budget;
 }
 
--- a/src/scheduling/start_hold.cpp
+++ b/src/scheduling/start_hold.cpp
@@ -13,19 +13,19 @@
 constexpr milliseconds start_span{2000};
 /// Of the caller's time; the rest is for serving the request, or for one try
 /// elsewhere.
-constexpr int held_part = 3;
+constexpr int cached_part = 3;
 constexpr int parts = 4;
 /// For callers that do not say how long they wait: most are people.
 constexpr milliseconds unstated_patience{1000};
 
 } // namespace
 
-milliseconds start_hold(const start_facts& facts)
+milliseconds startup_wait(const startup_wait_conditions& facts)
 {
     const auto until_given_up =
-        std::max(start_span - facts.m_up_for, milliseconds(0));
-    const auto of_use =
-        facts.m_patience.value_or(unstated_patience) * held_part / parts;
+        std::max(start_span - facts.m_uptime, milliseconds(0));
+    const auto of_use = facts.m_caller_timeout.value_or(unstated_patience) *
+                        cached_part / parts;
     return std::min(until_given_up, of_use);
 }
 
--- a/src/tenancy/cold_allowance.cpp
+++ b/src/tenancy/cold_allowance.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-request_limit cold_limit(const cold_bound& bound)
+request_limit cold_runner_limit(const cold_runner_bound& bound)
 {
     const double most =
         std::max(bound.m_per_s * bound.m_excess + bound.m_slack, 0.0);
@@ -30,11 +30,12 @@
     return {at_rate / span_s, share_at_once * most};
 }
 
-quota_question cold_question(std::uint64_t incarnation, const cold_bound& bound)
+quota_request cold_runner_request(std::uint64_t incarnation,
+                                  const cold_runner_bound& bound)
 {
-    quota_question out;
+    quota_request out;
     out.m_workspace = hash_combine(incarnation, cold_salt);
-    out.m_limit = cold_limit(bound);
+    out.m_limit = cold_runner_limit(bound);
     out.m_exact = true;
     return out;
 }
--- a/src/tenancy/freshness.cpp
+++ b/src/tenancy/freshness.cpp
@@ -28,8 +28,8 @@
 freshness_message report_freshness(const freshness_bound& bound,
                                    std::uint64_t config_revision, instant now)
 {
-    return {config_revision, told_age(bound.m_config_at, now),
-            told_age(bound.m_views_at, now)};
+    return {config_revision, told_age(bound.m_config_confirmed_at, now),
+            told_age(bound.m_views_confirmed_at, now)};
 }
 
 freshness_bound derive_freshness(const freshness_message& told, instant asked,
@@ -38,32 +38,32 @@
     freshness_bound out;
     // A newer one than is in force here says that this VM is behind.
     if (told.m_config_revision <= known_revision)
-        out.m_config_at = told_at(told.m_config_age_ms, asked);
+        out.m_config_confirmed_at = told_at(told.m_config_age_ms, asked);
     if (hears_views)
-        out.m_views_at = told_at(told.m_views_age_ms, asked);
+        out.m_views_confirmed_at = told_at(told.m_views_age_ms, asked);
     return out;
 }
 
-milliseconds longest_use(const staleness_limits& limits)
+milliseconds max_use_age(const staleness_limits& limits)
 {
     constexpr int tenths = 9;
-    return limits.m_revoke * tenths / 10;
+    return limits.m_max_revoke_delay * tenths / 10;
 }
 
-std::optional<milliseconds> use_left(const staleness_limits& limits, instant at,
-                                     instant now)
+std::optional<milliseconds> remaining_use_time(const staleness_limits& limits,
+                                               instant at, instant now)
 {
     const auto age = age_of(at, now);
-    const auto longest = longest_use(limits);
+    const auto longest = max_use_age(limits);
     if (age > longest)
         return std::nullopt;
     return longest - age;
 }
 
-milliseconds longest_denial(const staleness_limits& limits)
+milliseconds max_denial_age(const staleness_limits& limits)
 {
     constexpr int tenths = 8;
-    return limits.m_apply * tenths / 10;
+    return limits.m_max_apply_delay * tenths / 10;
 }
 
 milliseconds age_of(instant at, instant now)
--- a/src/tenancy/identity.cpp
+++ b/src/tenancy/identity.cpp
@@ -23,12 +23,12 @@
                   const credentials& given, milliseconds config_age,
                   const staleness_limits& limits)
 {
-    if (!given.m_fault.empty())
+    if (!given.m_error.empty())
         return {identity_verdict::malformed};
     const auto* owner = find_workspace(directory, given.m_key);
-    if (owner != nullptr && config_age <= longest_use(limits))
+    if (owner != nullptr && config_age <= max_use_age(limits))
         return {identity_verdict::known, owner};
-    if (owner == nullptr && config_age <= longest_denial(limits))
+    if (owner == nullptr && config_age <= max_denial_age(limits))
         return {identity_verdict::unknown};
     return {};
 }
--- a/src/tenancy/limit_owners.cpp
+++ b/src/tenancy/limit_owners.cpp
@@ -47,26 +47,26 @@
     return {{owner_history::period{}}};
 }
 
-void note_missed_list(owner_history& history, instant now,
-                      milliseconds takeover)
+void record_missed_members(owner_history& history, instant now,
+                           milliseconds takeover)
 {
     // Nobody owns anything by it.
-    note_members(history, {}, now, takeover);
+    record_members(history, {}, now, takeover);
 }
 
-void note_members(owner_history& history, std::vector<std::string> members,
-                  instant now, milliseconds takeover)
+void record_members(owner_history& history, std::vector<std::string> members,
+                    instant now, milliseconds takeover)
 {
     std::sort(members.begin(), members.end());
     auto& periods = history.m_periods;
     if (!periods.empty() && periods.back().m_members == members)
         return;
     if (!periods.empty())
-        periods.back().m_until = now;
+        periods.back().m_replaced_at = now;
     periods.push_back({std::move(members)});
     std::erase_if(periods, [&](const owner_history::period& row) {
-        return row.m_until != instant::max() &&
-               now - row.m_until > takeovers_remembered * takeover;
+        return row.m_replaced_at != instant::max() &&
+               now - row.m_replaced_at > takeovers_remembered * takeover;
     });
 }
 
@@ -79,7 +79,8 @@
     double share = 1;
     for (const auto& row : history.m_periods)
     {
-        if (row.m_until != instant::max() && now - row.m_until > takeover)
+        if (row.m_replaced_at != instant::max() &&
+            now - row.m_replaced_at > takeover)
             continue;
         share =
             std::min(share, share_in(row.m_members, self, workspace, wanted));
@@ -94,9 +95,9 @@
     const auto& periods = history.m_periods;
     for (auto row = periods.rbegin(); row != periods.rend(); ++row)
     {
-        if (row->m_until != instant::max() &&
+        if (row->m_replaced_at != instant::max() &&
             share_in(row->m_members, self, workspace, wanted) < share)
-            return row->m_until + takeover;
+            return row->m_replaced_at + takeover;
     }
     return instant{};
 }
