--- a/src/tenancy/limit_window.cpp
+++ b/src/tenancy/limit_window.cpp
@@ -23,7 +23,7 @@
 /// so one more than the window is long.
 std::int64_t oldest_slot(const limit_window& window)
 {
-    return window.m_now - slots_in_window;
+    return window.m_current_slot - slots_in_window;
 }
 
 /// Sums of grants from the oldest slot on, so that any span is one difference.
@@ -33,7 +33,8 @@
     explicit running_sums(const limit_window& window)
         : m_first(oldest_slot(window))
     {
-        const auto last = std::max(window.m_now, window.m_tail);
+        const auto last =
+            std::max(window.m_current_slot, window.m_last_granted_slot);
         double sum = 0;
         for (auto slot = m_first; slot <= last; ++slot)
         {
@@ -72,11 +73,11 @@
     for (auto row = window.m_bounds.rbegin(); row != window.m_bounds.rend();
          ++row)
     {
-        most = std::max(most, most_in_span(*row, steps));
-        const auto from = std::max(begin, row->m_from);
+        most = std::max(most, max_in_span(*row, steps));
+        const auto from = std::max(begin, row->m_from_slot);
         if (sums.between(from, end) + 1 > most + rounding)
             return false;
-        if (row->m_from <= begin)
+        if (row->m_from_slot <= begin)
             break;
     }
     return true;
@@ -87,8 +88,8 @@
 {
     for (std::int64_t steps = 1; steps <= steps_in_window; ++steps)
     {
-        const auto last =
-            std::clamp(window.m_tail, slot, slot + steps * slots_in_step);
+        const auto last = std::clamp(window.m_last_granted_slot, slot,
+                                     slot + steps * slots_in_step);
         for (auto end = slot; end <= last; ++end)
         {
             if (!has_room(window, sums, end, steps))
@@ -110,16 +111,16 @@
     return instant{} + slot * slot_length;
 }
 
-double most_in_span(const window_bound& bound, std::int64_t steps)
+double max_in_span(const window_bound& bound, std::int64_t steps)
 {
-    return bound.m_at_once + (bound.m_most - bound.m_at_once) *
-                                 static_cast<double>(steps) /
-                                 static_cast<double>(steps_in_window);
+    return bound.m_max_at_once + (bound.m_max - bound.m_max_at_once) *
+                                     static_cast<double>(steps) /
+                                     static_cast<double>(steps_in_window);
 }
 
 void advance_window(limit_window& window, std::int64_t now)
 {
-    if (now <= window.m_now)
+    if (now <= window.m_current_slot)
         return;
     // What leaves the window is cleared, for the ring to be used anew.
     const auto first = oldest_slot(window);
@@ -128,43 +129,44 @@
                  first + static_cast<std::int64_t>(limit_window::ring_size));
     for (auto slot = first; slot < last; ++slot)
         window.m_counts.at(index_of(slot)) = 0;
-    window.m_now = now;
-    window.m_tail = std::max(window.m_tail, now);
+    window.m_current_slot = now;
+    window.m_last_granted_slot = std::max(window.m_last_granted_slot, now);
     auto& bounds = window.m_bounds;
-    while (bounds.size() > 1 && bounds[1].m_from <= oldest_slot(window))
+    while (bounds.size() > 1 && bounds[1].m_from_slot <= oldest_slot(window))
         bounds.erase(bounds.begin());
 }
 
-void bound_window(limit_window& window, double most, double at_once)
+void set_window_bound(limit_window& window, double most, double at_once)
 {
     auto& bounds = window.m_bounds;
     if (bounds.empty())
         bounds.push_back({oldest_slot(window), most, at_once});
     auto& newest = bounds.back();
-    if (newest.m_most == most && newest.m_at_once == at_once)
+    if (newest.m_max == most && newest.m_max_at_once == at_once)
         return;
     // Within one slot grants before and after a change are not told apart: all
     // of them count below the new bound.
     if (bounds.size() < most_bounds)
-        bounds.push_back({window.m_now, most, at_once});
+        bounds.push_back({window.m_current_slot, most, at_once});
     else
-        newest = {newest.m_from, std::min(newest.m_most, most),
-                  std::min(newest.m_at_once, at_once)};
+        newest = {newest.m_from_slot, std::min(newest.m_max, most),
+                  std::min(newest.m_max_at_once, at_once)};
 }
 
-void shrink_window(limit_window& window, double part)
+void scale_window(limit_window& window, double part)
 {
-    for (auto slot = oldest_slot(window); slot <= window.m_now; ++slot)
+    for (auto slot = oldest_slot(window); slot <= window.m_current_slot; ++slot)
         window.m_counts.at(index_of(slot)) *= static_cast<float>(part);
     for (auto& row : window.m_bounds)
     {
-        row.m_most *= part;
-        row.m_at_once *= part;
+        row.m_max *= part;
+        row.m_max_at_once *= part;
     }
 }
 
-std::optional<std::int64_t> find_room(const limit_window& window,
-                                      std::int64_t from, std::int64_t until)
+std::optional<std::int64_t> find_free_slot(const limit_window& window,
+                                           std::int64_t from,
+                                           std::int64_t until)
 {
     const running_sums sums(window);
     for (auto slot = from; slot <= until; ++slot)
@@ -175,48 +177,49 @@
     return std::nullopt;
 }
 
-void take_place(limit_window& window, std::int64_t slot)
+void add_grant(limit_window& window, std::int64_t slot)
 {
     window.m_counts.at(index_of(slot)) += 1;
-    window.m_tail = std::max(window.m_tail, slot);
+    window.m_last_granted_slot = std::max(window.m_last_granted_slot, slot);
 }
 
-void free_place(limit_window& window, std::int64_t slot)
+void remove_grant(limit_window& window, std::int64_t slot)
 {
-    if (slot < oldest_slot(window) || slot > window.m_tail)
+    if (slot < oldest_slot(window) || slot > window.m_last_granted_slot)
         return;
     auto& count = window.m_counts.at(index_of(slot));
     count = std::max(0.0F, count - 1);
-    while (window.m_tail > window.m_now &&
-           window.m_counts.at(index_of(window.m_tail)) == 0)
-        --window.m_tail;
+    while (window.m_last_granted_slot > window.m_current_slot &&
+           window.m_counts.at(index_of(window.m_last_granted_slot)) == 0)
+        --window.m_last_granted_slot;
 }
 
-void assume_granted(limit_window& window, std::int64_t until)
+void assume_max_granted(limit_window& window, std::int64_t until)
 {
     const auto& bound = window.m_bounds.back();
     double counted = 0;
     for (std::int64_t steps = 1; steps <= steps_in_window; ++steps)
     {
-        const double next = most_in_span(bound, steps);
+        const double next = max_in_span(bound, steps);
         const auto slot = until - (steps - 1) * slots_in_step;
-        if (slot >= oldest_slot(window) && slot <= window.m_now)
+        if (slot >= oldest_slot(window) && slot <= window.m_current_slot)
             window.m_counts.at(index_of(slot)) +=
                 static_cast<float>(next - counted);
         counted = next;
     }
 }
 
-double used_lately(const limit_window& window, std::int64_t slots)
+double count_recent_grants(const limit_window& window, std::int64_t slots)
 {
     const running_sums sums(window);
-    return sums.between(window.m_now - slots, window.m_tail);
+    return sums.between(window.m_current_slot - slots,
+                        window.m_last_granted_slot);
 }
 
-double places_ahead(const limit_window& window)
+double count_future_grants(const limit_window& window)
 {
     const running_sums sums(window);
-    return sums.between(window.m_now + 1, window.m_tail);
+    return sums.between(window.m_current_slot + 1, window.m_last_granted_slot);
 }
 
 } // namespace pepperturn
--- a/src/tenancy/limiter.cpp
+++ b/src/tenancy/limiter.cpp
@@ -61,11 +61,11 @@
 double horizon_s(std::size_t index)
 {
     return to_seconds(limit_span) * static_cast<double>(index + 1) /
-           static_cast<double>(horizons);
+           static_cast<double>(forecast_horizons);
 }
 
 /// Takes the newest limit that any VM knows, at once, and this VM's share.
-void take_limit(limiter_row& row, const quota_question& question, double share,
+void take_limit(limiter_row& row, const quota_request& question, double share,
                 instant since, instant now, const limiter_settings& settings)
 {
     const bool is_first = row.m_share == 0;
@@ -77,22 +77,23 @@
     }
     if (share < row.m_share)
     {
-        shrink_window(row.m_window, share / row.m_share);
-        row.m_kept.clear();
-        row.m_exact_since = now;
+        scale_window(row.m_window, share / row.m_share);
+        row.m_reserved.clear();
+        row.m_counted_since = now;
     }
     row.m_share = share;
-    const double most = most_in_window(row.m_limit, share, settings);
+    const double most = max_in_window(row.m_limit, share, settings);
     // All that the window holds beyond the plain rate may come at one instant,
     // so that after a restart the plain rate is there again at once.
     const double at_rate =
         share * row.m_limit.m_rate_per_s * to_seconds(limit_span);
-    bound_window(row.m_window, most, std::max(0.0, most - at_rate));
-    if (is_first || since > row.m_since)
-        assume_granted(row.m_window, slot_at(since));
-    row.m_since = is_first ? since : std::max(row.m_since, since);
-    row.m_exact_since = std::max(row.m_exact_since, row.m_since);
-    row.m_asked = now;
+    set_window_bound(row.m_window, most, std::max(0.0, most - at_rate));
+    if (is_first || since > row.m_granting_since)
+        assume_max_granted(row.m_window, slot_at(since));
+    row.m_granting_since =
+        is_first ? since : std::max(row.m_granting_since, since);
+    row.m_counted_since = std::max(row.m_counted_since, row.m_granting_since);
+    row.m_last_request_at = now;
 }
 
 std::uint32_t as_retry(milliseconds wait)
@@ -101,12 +102,13 @@
         std::clamp(wait, soonest_retry, latest_retry).count());
 }
 
-void learn(program_habits& habits, const counted_program& program)
+void learn(program_statistics& habits, const active_program& program)
 {
     habits.m_programs += 1;
     habits.m_calls += program.m_calls;
     habits.m_seconds +=
-        to_seconds(program.m_last - program.m_first) + last_call_s;
+        to_seconds(program.m_last_call_at - program.m_first_call_at) +
+        last_call_s;
     if (habits.m_calls < calls_remembered)
         return;
     habits.m_programs /= 2;
@@ -115,18 +117,18 @@
 }
 
 /// Takes out programs that have ended, and learns from them.
-void sweep_programs(limiter_row& row, instant now, program_habits& all)
+void sweep_programs(limiter_row& row, instant now, program_statistics& all)
 {
-    if (now - row.m_swept < sweep_interval)
+    if (now - row.m_last_sweep_at < sweep_interval)
         return;
-    row.m_swept = now;
+    row.m_last_sweep_at = now;
     std::erase_if(row.m_programs, [&](const auto& entry) {
         const auto& program = entry.second;
-        if (now - program.m_last < ended_after)
+        if (now - program.m_last_call_at < ended_after)
             return false;
-        if (!program.m_cut)
+        if (!program.m_had_refusal)
         {
-            learn(row.m_habits, program);
+            learn(row.m_statistics, program);
             learn(all, program);
         }
         return true;
@@ -139,50 +141,51 @@
         return;
     auto& seen = row.m_programs[program];
     if (seen.m_calls++ == 0)
-        seen.m_first = now;
-    seen.m_last = now;
+        seen.m_first_call_at = now;
+    seen.m_last_call_at = now;
 }
 
 void note_cut(limiter_row& row, std::uint64_t program, instant now)
 {
-    row.m_cut_at = now;
+    row.m_last_refusal_at = now;
     const auto found = row.m_programs.find(program);
     if (found != row.m_programs.end())
-        found->second.m_cut = true;
+        found->second.m_had_refusal = true;
 }
 
 /// Calls that a program makes until each of the horizons.
-call_forecast calls_to_come(const expected_program& usual, double left)
+call_forecast calls_to_come(const program_estimate& usual, double left)
 {
     call_forecast out{};
-    for (std::size_t i = 0; i < horizons; ++i)
-        out.at(i) = std::min(left, usual.m_pace * horizon_s(i));
+    for (std::size_t i = 0; i < forecast_horizons; ++i)
+        out.at(i) = std::min(left, usual.m_call_rate_per_s * horizon_s(i));
     return out;
 }
 
 void add(call_forecast& sum, const call_forecast& more, double weight)
 {
-    for (std::size_t i = 0; i < horizons; ++i)
+    for (std::size_t i = 0; i < forecast_horizons; ++i)
         sum.at(i) += weight * more.at(i);
 }
 
-void sum_up(limiter_row& row, const expected_program& usual, instant now)
+void sum_up(limiter_row& row, const program_estimate& usual, instant now)
 {
     if (now - row.m_forecast_at < forecast_interval)
         return;
     row.m_forecast_at = now;
-    row.m_to_come = {};
-    const bool cut =
-        row.m_cut_at != instant{} && now - row.m_cut_at < cut_memory;
+    row.m_forecast = {};
+    const bool cut = row.m_last_refusal_at != instant{} &&
+                     now - row.m_last_refusal_at < cut_memory;
     for (const auto& [id, program] : row.m_programs)
     {
-        const double left = cut ? usual.m_pace * horizon_s(horizons - 1)
-                                : std::max(usual.m_calls - program.m_calls,
-                                           usual.m_calls * least_to_come);
+        const double left =
+            cut ? usual.m_call_rate_per_s * horizon_s(forecast_horizons - 1)
+                : std::max(usual.m_calls - program.m_calls,
+                           usual.m_calls * least_to_come);
         // The longer it has been silent, the likelier it has ended.
         const double silent =
-            to_seconds(now - program.m_last) / to_seconds(ended_after);
-        add(row.m_to_come, calls_to_come(usual, left),
+            to_seconds(now - program.m_last_call_at) / to_seconds(ended_after);
+        add(row.m_forecast, calls_to_come(usual, left),
             std::clamp(1 - silent, 0.0, 1.0));
     }
 }
@@ -190,44 +193,44 @@
 /// Programs that asked before \p program and are about to come back.
 double told_before(const limiter_row& row, std::uint64_t program)
 {
-    const auto found =
-        std::find_if(row.m_told.begin(), row.m_told.end(), [&](const auto& at) {
+    const auto found = std::find_if(
+        row.m_deferred.begin(), row.m_deferred.end(), [&](const auto& at) {
             return program != 0 && at.m_program == program;
         });
-    return static_cast<double>(found - row.m_told.begin());
+    return static_cast<double>(found - row.m_deferred.begin());
 }
 
 /// The window will hold another program beside those under way and those that
 /// were told to come back.
 /// \param missing calls that it lacks room for
-bool bears_program(limiter_row& row, const quota_question& question,
-                   const limiter_settings& settings, const program_habits& all,
-                   instant now, double& missing)
+bool bears_program(limiter_row& row, const quota_request& question,
+                   const limiter_settings& settings,
+                   const program_statistics& all, instant now, double& missing)
 {
-    std::erase_if(row.m_told, [&](const told_program& at) {
-        return now - at.m_at > told_patience;
+    std::erase_if(row.m_deferred, [&](const deferred_program& at) {
+        return now - at.m_retry_at > told_patience;
     });
-    const auto usual = expect_program(row.m_habits, all, settings);
+    const auto usual = estimate_program(row.m_statistics, all, settings);
     sum_up(row, usual, now);
-    const double most =
-        settings.m_fill * most_in_window(row.m_limit, row.m_share, settings);
+    const double most = settings.m_overcommit *
+                        max_in_window(row.m_limit, row.m_share, settings);
     const auto own = calls_to_come(usual, usual.m_calls);
     const double before = told_before(row, question.m_program);
     missing = 0;
-    for (std::size_t i = 0; i < horizons; ++i)
+    for (std::size_t i = 0; i < forecast_horizons; ++i)
     {
         const auto still_inside =
             slots_in_window -
             static_cast<std::int64_t>(horizon_s(i) / to_seconds(slot_length));
-        const double used = used_lately(row.m_window, still_inside);
-        missing = std::max(missing, used + row.m_to_come.at(i) +
+        const double used = count_recent_grants(row.m_window, still_inside);
+        missing = std::max(missing, used + row.m_forecast.at(i) +
                                         (before + 1) * own.at(i) - most);
     }
     // One at a time goes on, however small the limit is.
     if (missing > 0 && (!row.m_programs.empty() || before > 0))
         return false;
-    add(row.m_to_come, own, 1);
-    std::erase_if(row.m_told, [&](const told_program& at) {
+    add(row.m_forecast, own, 1);
+    std::erase_if(row.m_deferred, [&](const deferred_program& at) {
         return at.m_program == question.m_program;
     });
     return true;
@@ -235,27 +238,27 @@
 
 /// A program that is not begun now: tells when to come back, and lets those
 /// who come later wait for it, if that is soon.
-quota_answer put_off(limiter_row& row, const quota_question& question,
-                     double missing, instant now,
-                     const limiter_settings& settings)
+quota_reply put_off(limiter_row& row, const quota_request& question,
+                    double missing, instant now,
+                    const limiter_settings& settings)
 {
-    const double rate = most_in_window(row.m_limit, row.m_share, settings) /
+    const double rate = max_in_window(row.m_limit, row.m_share, settings) /
                         to_seconds(limit_span);
     const double ms = std::min(missing / rate * ms_per_s,
                                static_cast<double>(latest_retry.count()));
     const auto retry = std::max(
         soonest_begin, milliseconds(static_cast<milliseconds::rep>(ms)));
-    const bool is_kept = question.m_patience_ms > 0 &&
+    const bool is_kept = question.m_queue_timeout_ms > 0 &&
                          question.m_program != 0 && retry <= latest_begin &&
-                         row.m_told.size() < most_kept;
+                         row.m_deferred.size() < most_kept;
     if (is_kept)
     {
         const auto index =
             static_cast<std::size_t>(told_before(row, question.m_program));
-        if (index < row.m_told.size())
-            row.m_told[index].m_at = now + retry;
+        if (index < row.m_deferred.size())
+            row.m_deferred[index].m_retry_at = now + retry;
         else
-            row.m_told.push_back({question.m_program, now + retry});
+            row.m_deferred.push_back({question.m_program, now + retry});
     }
     return {quota_outcome::over_limit, as_retry(retry)};
 }
@@ -263,78 +266,80 @@
 /// Places that nobody has come for are free again.
 void drop_kept(limiter_row& row)
 {
-    std::erase_if(row.m_kept, [&](const kept_place& kept) {
-        if (kept.m_slot + kept_slots >= row.m_window.m_now)
+    std::erase_if(row.m_reserved, [&](const reserved_slot& kept) {
+        if (kept.m_slot + kept_slots >= row.m_window.m_current_slot)
             return false;
-        free_place(row.m_window, kept.m_slot);
+        remove_grant(row.m_window, kept.m_slot);
         return true;
     });
 }
 
 /// The place that was kept for a call of \p program, if it may wait for it;
 /// it is free then.
-bool claim_kept(limiter_row& row, const quota_question& question)
+bool claim_kept(limiter_row& row, const quota_request& question)
 {
-    const auto latest =
-        row.m_window.m_now + milliseconds(question.m_patience_ms) / slot_length;
-    const auto found =
-        std::find_if(row.m_kept.begin(), row.m_kept.end(), [&](const auto& at) {
+    const auto latest = row.m_window.m_current_slot +
+                        milliseconds(question.m_queue_timeout_ms) / slot_length;
+    const auto found = std::find_if(
+        row.m_reserved.begin(), row.m_reserved.end(), [&](const auto& at) {
             return at.m_program == question.m_program && at.m_slot <= latest;
         });
-    if (question.m_program == 0 || found == row.m_kept.end())
+    if (question.m_program == 0 || found == row.m_reserved.end())
         return false;
-    free_place(row.m_window, found->m_slot);
-    row.m_kept.erase(found);
+    remove_grant(row.m_window, found->m_slot);
+    row.m_reserved.erase(found);
     return true;
 }
 
-quota_answer grant(limiter_row& row, const quota_question& question,
-                   std::int64_t slot, instant now)
+quota_reply grant(limiter_row& row, const quota_request& question,
+                  std::int64_t slot, instant now)
 {
     note_call(row, question.m_program, now);
-    take_place(row.m_window, slot);
+    add_grant(row.m_window, slot);
     // Rounded up: no sooner than its slot begins.
-    const auto wait = slot > row.m_window.m_now
+    const auto wait = slot > row.m_window.m_current_slot
                           ? elapsed(now, start_of_slot(slot)) + milliseconds(1)
                           : milliseconds(0);
     return {.m_outcome = quota_outcome::granted,
-            .m_place = pack_place(slot, wait)};
+            .m_packed_grant = pack_grant(slot, wait)};
 }
 
 /// No room within the caller's patience: tells when there is, and keeps that
 /// place for whoever said that it would have waited.
-quota_answer refuse(limiter_row& row, const quota_question& question,
-                    std::int64_t from, instant now)
+quota_reply refuse(limiter_row& row, const quota_request& question,
+                   std::int64_t from, instant now)
 {
-    if (!question.m_begins)
+    if (!question.m_begins_program)
         note_cut(row, question.m_program, now);
-    const auto last = row.m_window.m_now + slots_ahead - kept_slots;
-    const auto slot = find_room(row.m_window, from, last);
+    const auto last =
+        row.m_window.m_current_slot + max_slots_ahead - kept_slots;
+    const auto slot = find_free_slot(row.m_window, from, last);
     if (!slot)
         return {quota_outcome::over_limit, as_retry(latest_retry)};
-    if (question.m_patience_ms > 0 && question.m_program != 0 &&
-        row.m_kept.size() < most_kept)
+    if (question.m_queue_timeout_ms > 0 && question.m_program != 0 &&
+        row.m_reserved.size() < most_kept)
     {
-        take_place(row.m_window, *slot);
-        row.m_kept.push_back({question.m_program, *slot});
+        add_grant(row.m_window, *slot);
+        row.m_reserved.push_back({question.m_program, *slot});
     }
     return {quota_outcome::over_limit,
             as_retry(elapsed(now, start_of_slot(*slot)))};
 }
 
-void note_outcome(workspace_counts& counts, const quota_question& question,
-                  const quota_answer& told)
+void note_outcome(workspace_counts& counts, const quota_request& question,
+                  const quota_reply& told)
 {
-    counts.note(workspace_event::asked);
+    counts.increment(workspace_event::asked);
     if (told.m_outcome == quota_outcome::granted)
     {
-        counts.note(workspace_event::served);
-        if (wait_of_place(told.m_place) > milliseconds(0))
-            counts.note(workspace_event::waited);
+        counts.increment(workspace_event::served);
+        if (wait_of_grant(told.m_packed_grant) > milliseconds(0))
+            counts.increment(workspace_event::waited);
         return;
     }
-    counts.note(question.m_begins ? workspace_event::refused_first_call
-                                  : workspace_event::refused_call);
+    counts.increment(question.m_begins_program
+                         ? workspace_event::refused_first_call
+                         : workspace_event::refused_call);
 }
 
 } // namespace
@@ -353,22 +358,23 @@
     return "unknown";
 }
 
-std::size_t owners_for(const quota_question& question)
+std::size_t owner_count_for(const quota_request& question)
 {
-    return question.m_exact ? 1 : owners_wanted;
+    return question.m_exact ? 1 : target_owner_count;
 }
 
-quota_question with_patience(quota_question question,
-                             std::optional<milliseconds> longest)
+quota_request limit_queue_timeout(quota_request question,
+                                  std::optional<milliseconds> longest)
 {
     const auto most = longest.value_or(milliseconds(0)).count();
-    question.m_patience_ms =
+    question.m_queue_timeout_ms =
         static_cast<std::uint32_t>(std::clamp<milliseconds::rep>(
-            most, 0, static_cast<milliseconds::rep>(question.m_patience_ms)));
+            most, 0,
+            static_cast<milliseconds::rep>(question.m_queue_timeout_ms)));
     return question;
 }
 
-std::uint32_t pack_place(std::int64_t slot, milliseconds wait)
+std::uint32_t pack_grant(std::int64_t slot, milliseconds wait)
 {
     const auto bounded =
         std::clamp<milliseconds::rep>(wait.count(), 0, wait_mask);
@@ -376,12 +382,12 @@
            static_cast<std::uint32_t>(bounded);
 }
 
-milliseconds wait_of_place(std::uint32_t packed)
+milliseconds wait_of_grant(std::uint32_t packed)
 {
     return milliseconds(packed & wait_mask);
 }
 
-std::int64_t slot_of_place(std::uint32_t packed, std::int64_t now)
+std::int64_t slot_of_grant(std::uint32_t packed, std::int64_t now)
 {
     const auto behind = static_cast<std::int16_t>(
         static_cast<std::uint16_t>(now) -
@@ -389,85 +395,87 @@
     return now - behind;
 }
 
-double most_in_window(const request_limit& limit, double share,
-                      const limiter_settings& settings)
+double max_in_window(const request_limit& limit, double share,
+                     const limiter_settings& settings)
 {
     const double allowed =
         limit.m_rate_per_s * to_seconds(limit_span) + limit.m_burst;
-    return share * (allowed * (1 + settings.m_excess) + settings.m_spare);
+    return share * (allowed * (1 + settings.m_excess) + settings.m_slack);
 }
 
-expected_program expect_program(const program_habits& own,
-                                const program_habits& all,
-                                const limiter_settings& settings)
+program_estimate estimate_program(const program_statistics& own,
+                                  const program_statistics& all,
+                                  const limiter_settings& settings)
 {
-    const auto blend = [](const program_habits& seen, double calls,
+    const auto blend = [](const program_statistics& seen, double calls,
                           double seconds) {
         const double programs = seen.m_programs + usual_programs;
-        return program_habits{
+        return program_statistics{
             1, (seen.m_calls + usual_programs * calls) / programs,
             (seen.m_seconds + usual_programs * seconds) / programs};
     };
-    const auto any = blend(all, settings.m_usual_calls,
-                           settings.m_usual_calls / settings.m_usual_pace);
+    const auto any =
+        blend(all, settings.m_default_calls,
+              settings.m_default_calls / settings.m_default_call_rate_per_s);
     const auto usual = blend(own, any.m_calls, any.m_seconds);
     return {usual.m_calls, usual.m_calls / usual.m_seconds};
 }
 
-quota_answer take_request(limiter_row& row, const quota_question& question,
+quota_reply admit_request(limiter_row& row, const quota_request& question,
                           double share, instant since, instant now,
-                          const limiter_settings& settings, program_habits& all)
+                          const limiter_settings& settings,
+                          program_statistics& all)
 {
     take_limit(row, question, share, since, now, settings);
     sweep_programs(row, now, all);
     drop_kept(row);
-    const auto here = row.m_window.m_now;
+    const auto here = row.m_window.m_current_slot;
     double missing = 0;
-    if (question.m_begins &&
+    if (question.m_begins_program &&
         !bears_program(row, question, settings, all, now, missing))
         return put_off(row, question, missing, now, settings);
     (void)claim_kept(row, question);
     const auto latest =
-        std::min(here + milliseconds(question.m_patience_ms) / slot_length,
-                 here + slots_ahead);
-    if (const auto slot = find_room(row.m_window, here, latest))
+        std::min(here + milliseconds(question.m_queue_timeout_ms) / slot_length,
+                 here + max_slots_ahead);
+    if (const auto slot = find_free_slot(row.m_window, here, latest))
         return grant(row, question, *slot, now);
     return refuse(row, question, latest + 1, now);
 }
 
-void return_request(limiter_row& row, const quota_question& question,
-                    instant now)
+void return_grant(limiter_row& row, const quota_request& question, instant now)
 {
     const auto found = row.m_programs.find(question.m_program);
     if (found != row.m_programs.end() && --found->second.m_calls == 0)
         row.m_programs.erase(found);
     advance_window(row.m_window, slot_at(now));
-    const auto slot = slot_of_place(question.m_place, row.m_window.m_now);
-    if (start_of_slot(slot) >= row.m_exact_since)
-        free_place(row.m_window, slot);
+    const auto slot =
+        slot_of_grant(question.m_packed_grant, row.m_window.m_current_slot);
+    if (start_of_slot(slot) >= row.m_counted_since)
+        remove_grant(row.m_window, slot);
 }
 
-quota_answer limiter::ask(const quota_question& question, double share,
-                          instant since, instant now)
+quota_reply limiter::handle(const quota_request& question, double share,
+                            instant since, instant now)
 {
-    quota_answer out;
-    if (question.m_returned)
+    quota_reply out;
+    if (question.m_is_return)
     {
         const auto found = m_rows.find(question.m_workspace);
         if (found != m_rows.end())
-            return_request(found->second, question, now);
+            return_grant(found->second, question, now);
         return out;
     }
     if (share > 0)
     {
         if (m_rows.size() >= most_rows)
-            forget_unused(now);
+            evict_idle_rows(now);
         auto& row = m_rows[question.m_workspace];
         auto settings = m_settings;
         if (question.m_exact)
-            settings.m_spare = settings.m_excess = 0;
-        out =
-            take_request(row, question, share, since, now, settings, m_habits);
+            settings.m_slack = settings.m_excess = 0;
+        out = admit_request(row, question, share, since, now, settings,
+                            m_statistics);
         note_outcome(row.m_counts, question, out);
     }
     ++m_counts.at(static_cast<std::size_t>(out.m_outcome));
@@ -488,10 +496,10 @@
     return out;
 }
 
-void limiter::forget_unused(instant now)
+void limiter::evict_idle_rows(instant now)
 {
     std::erase_if(m_rows, [&](const auto& entry) {
-        return now - entry.second.m_asked > unused_after;
+        return now - entry.second.m_last_request_at > unused_after;
     });
 }
 
--- a/src/tenancy/workspace_counts.cpp
+++ b/src/tenancy/workspace_counts.cpp
@@ -14,7 +14,7 @@
 
 std::uint64_t asked(const named_counts& row)
 {
-    return row.m_counts.of(workspace_event::asked);
+    return row.m_counts.count(workspace_event::asked);
 }
 
 std::string metric_name(const std::string& name)
@@ -32,13 +32,13 @@
 
 void add(workspace_counts& sum, const workspace_counts& more)
 {
-    for (std::size_t i = 0; i < workspace_events; ++i)
+    for (std::size_t i = 0; i < workspace_event_count; ++i)
         sum.m_counts.at(i) += more.m_counts.at(i);
 }
 
 void write_row(std::string& out, const named_counts& row)
 {
-    for (std::size_t i = 0; i < workspace_events; ++i)
+    for (std::size_t i = 0; i < workspace_event_count; ++i)
     {
         const auto value = row.m_counts.m_counts.at(i);
         if (value == 0)
@@ -93,7 +93,7 @@
     std::string out;
     for (std::size_t i = 0; i < rows.size(); ++i)
     {
-        if (i < workspaces_named)
+        if (i < max_named_workspaces)
             write_row(out, rows[i]);
         else
             add(others.m_counts, rows[i].m_counts);
@@ -102,7 +102,7 @@
     return out;
 }
 
-workspace_counts& workspace_totals::of(const std::string& name)
+workspace_counts& workspace_totals::counts_of(const std::string& name)
 {
     const auto found = m_rows.find(name);
     if (found != m_rows.end())
--- a/src/tenancy/workspaces.cpp
+++ b/src/tenancy/workspaces.cpp
@@ -92,7 +92,7 @@
         text.remove_prefix(1);
     if (text.empty())
         return {{}, "credentials without a key"};
-    if (text.size() > most_key_bytes)
+    if (text.size() > max_key_bytes)
         return {{}, "a key that is too long"};
     if (!std::all_of(text.begin(), text.end(), is_key_character))
         return {{}, "a key with characters that none has"};
--- a/src/turns/messages.cpp
+++ b/src/turns/messages.cpp
@@ -128,26 +128,26 @@
         out.setConfigAgeMs(body.m_config_age_ms);
         out.setViewsAgeMs(body.m_views_age_ms);
     }
-    void operator()(const quota_question& body)
+    void operator()(const quota_request& body)
     {
         auto out = m_out.initQuotaQuestion();
         out.setWorkspace(body.m_workspace);
         out.setRatePerS(body.m_limit.m_rate_per_s);
         out.setBurst(body.m_limit.m_burst);
         out.setConfigRevision(body.m_config_revision);
-        out.setBegins(body.m_begins);
-        out.setReturned(body.m_returned);
+        out.setBegins(body.m_begins_program);
+        out.setReturned(body.m_is_return);
         out.setProgram(body.m_program);
-        out.setPatienceMs(body.m_patience_ms);
-        out.setPlace(body.m_place);
+        out.setPatienceMs(body.m_queue_timeout_ms);
+        out.setPlace(body.m_packed_grant);
         out.setExact(body.m_exact);
     }
-    void operator()(const quota_answer& body)
+    void operator()(const quota_reply& body)
     {
         auto out = m_out.initQuotaAnswer();
         out.setOutcome(static_cast<std::uint8_t>(body.m_outcome));
-        out.setRetryMs(body.m_retry_ms);
-        out.setPlace(body.m_place);
+        out.setRetryMs(body.m_retry_after_ms);
+        out.setPlace(body.m_packed_grant);
     }
     void operator()(const want_neighbours_message&)
     {
@@ -169,7 +169,7 @@
         out.setMember(body.m_member);
         out.setFrame(data_from(body.m_frame));
     }
-    void operator()(const place_question& body)
+    void operator()(const placement_request& body)
     {
         auto out = m_out.initPlaceQuestion();
         out.setService(body.m_service);
@@ -182,22 +182,22 @@
             parts[i].setTokens(body.m_parts[i].m_tokens);
         }
         out.setPromptTokens(body.m_prompt_tokens);
-        out.setMostTokens(body.m_most_tokens);
-        out.setExpectedTokens(body.m_expected_tokens);
+        out.setMostTokens(body.m_max_output_tokens);
+        out.setExpectedTokens(body.m_expected_output_tokens);
         out.setRank(static_cast<std::uint8_t>(body.m_rank));
         out.setPriority(body.m_priority);
-        out.setPatienceMs(body.m_patience_ms);
-        out.setProgramLeftMs(body.m_program_left_ms);
+        out.setPatienceMs(body.m_queue_timeout_ms);
+        out.setProgramLeftMs(body.m_program_time_left_ms);
         out.setZone(body.m_availability_zone);
         auto excluded = out.initExcluded(body.m_excluded.size());
         for (unsigned i = 0; i < excluded.size(); ++i)
             excluded.set(i, body.m_excluded[i]);
-        out.setCollects(body.m_collects);
+        out.setCollects(body.m_already_queued);
         auto regions = out.initRegions(body.m_regions.size());
         for (unsigned i = 0; i < regions.size(); ++i)
             regions.set(i, body.m_regions[i]);
     }
-    void operator()(const place_answer& body)
+    void operator()(const placement_reply& body)
     {
         auto out = m_out.initPlaceAnswer();
         out.setOutcome(static_cast<std::uint8_t>(body.m_outcome));
@@ -205,9 +205,9 @@
         out.setCachedTokens(body.m_cached_tokens);
         out.setUnderWay(body.m_under_way);
         out.setExpectedMs(body.m_expected_ms);
-        out.setRetryMs(body.m_retry_ms);
+        out.setRetryMs(body.m_retry_after_ms);
     }
-    void operator()(const place_report& body)
+    void operator()(const placement_report& body)
     {
         auto out = m_out.initPlaceReport();
         out.setService(body.m_service);
@@ -216,7 +216,7 @@
         out.setEnd(static_cast<std::uint8_t>(body.m_end));
         out.setFirstByteMs(body.m_first_byte_ms);
         out.setRunMs(body.m_run_ms);
-        out.setTokens(body.m_tokens);
+        out.setTokens(body.m_output_tokens);
     }
 };
 
@@ -266,7 +266,7 @@
     return out;
 }
 
-quota_question read_question(turns_wire::QuotaQuestion::Reader in)
+quota_request read_question(turns_wire::QuotaQuestion::Reader in)
 {
     return {in.getWorkspace(),      {in.getRatePerS(), in.getBurst()},
             in.getConfigRevision(), in.getProgram(),
@@ -275,7 +275,7 @@
             in.getExact()};
 }
 
-quota_answer read_answer(turns_wire::QuotaAnswer::Reader in)
+quota_reply read_answer(turns_wire::QuotaAnswer::Reader in)
 {
     // What is not known here grants nothing.
     return {read_enum(in.getOutcome(), quota_outcome::not_owner),
@@ -300,33 +300,33 @@
     return out;
 }
 
-place_question read_place_question(turns_wire::PlaceQuestion::Reader in)
+placement_request read_place_question(turns_wire::PlaceQuestion::Reader in)
 {
-    place_question out;
+    placement_request out;
     out.m_service = in.getService();
     out.m_call = in.getCall();
     out.m_workspace = in.getWorkspace();
     for (const auto part : in.getParts())
         out.m_parts.push_back({part.getId(), part.getTokens()});
     out.m_prompt_tokens = in.getPromptTokens();
-    out.m_most_tokens = in.getMostTokens();
-    out.m_expected_tokens = in.getExpectedTokens();
+    out.m_max_output_tokens = in.getMostTokens();
+    out.m_expected_output_tokens = in.getExpectedTokens();
     out.m_rank = read_enum(in.getRank(), call_rank::late);
     out.m_priority = in.getPriority();
-    out.m_patience_ms = in.getPatienceMs();
-    out.m_program_left_ms = in.getProgramLeftMs();
+    out.m_queue_timeout_ms = in.getPatienceMs();
+    out.m_program_time_left_ms = in.getProgramLeftMs();
     out.m_availability_zone = text_of(in.getZone());
     for (const auto runner : in.getExcluded())
         out.m_excluded.push_back(runner);
-    out.m_collects = in.getCollects();
+    out.m_already_queued = in.getCollects();
     for (const auto region : in.getRegions())
         out.m_regions.push_back(text_of(region));
     return out;
 }
 
-place_answer read_place_answer(turns_wire::PlaceAnswer::Reader in)
+placement_reply read_place_answer(turns_wire::PlaceAnswer::Reader in)
 {
-    return {read_enum(in.getOutcome(), place_outcome::not_placing),
+    return {read_enum(in.getOutcome(), placement_outcome::not_placing),
             in.getRunner(),
             in.getCachedTokens(),
             in.getUnderWay(),
@@ -334,10 +334,10 @@
             in.getRetryMs()};
 }
 
-place_report read_place_report(turns_wire::PlaceReport::Reader in)
+placement_report read_place_report(turns_wire::PlaceReport::Reader in)
 {
     return {in.getService(),     in.getCall(),
-            in.getRunner(),      read_enum(in.getEnd(), place_end::not_run),
+            in.getRunner(),      read_enum(in.getEnd(), placement_end::not_run),
             in.getFirstByteMs(), in.getRunMs(),
             in.getTokens()};
 }
--- a/src/turns/turn_chains.cpp
+++ b/src/turns/turn_chains.cpp
@@ -82,7 +82,7 @@
         if (row.m_state == member_state::joining ||
             !m_links.connected(row.m_name))
             continue;
-        const auto answer = co_await m_links.ask(
+        const auto answer = co_await m_links.request(
             row.m_name, view.m_epoch, question,
             std::min(until, m_time.now() + fetch_patience));
         const auto* fetched =
--- a/src/turns/turn_client.cpp
+++ b/src/turns/turn_client.cpp
@@ -61,8 +61,8 @@
         return std::any_of(set.m_view.m_members.begin(),
                            set.m_view.m_members.end(), [&](const member& row) {
                                return m_links.connected(row.m_name) &&
-                                      now - m_links.last_heard(row.m_name) <
-                                          heard_within;
+                                      now - m_links.last_seen(row.m_name) <
+                                          liveness_timeout;
                            });
     });
 }
@@ -74,7 +74,7 @@
     return std::none_of(m_sets.begin(), m_sets.end(), [&](const set_row& set) {
         return std::any_of(set.m_view.m_members.begin(),
                            set.m_view.m_members.end(), [&](const member& row) {
-                               return m_links.last_heard(row.m_name) > asked;
+                               return m_links.last_seen(row.m_name) > asked;
                            });
     });
 }
@@ -160,7 +160,7 @@
         const auto* set = set_for(work->m_program);
         if (answer && answer->m_status == frame_status::stale &&
             set != nullptr && answer->m_epoch < set->m_view.m_epoch)
-            m_links.tell_view(name, set->m_view);
+            m_links.send_view(name, set->m_view);
         if (answer && answer->m_status == frame_status::ok)
             asked.m_answer = std::move(answer);
         work->m_changed.notify();
@@ -362,7 +362,7 @@
 }
 
 void turn_client::settle(const begin_request& request, std::uint32_t tokens,
-                         const prompt_place& place)
+                         const prompt_location& place)
 {
     const auto* set = set_for(request.m_program);
     if (set == nullptr)
--- a/src/turns/turn_news.cpp
+++ b/src/turns/turn_news.cpp
@@ -44,7 +44,7 @@
                      hello.m_availability_zone};
     if (hello.m_seeks && m_state.m_runners.size() > most_runners_for_seekers)
     {
-        auto news = whole_of(m_state);
+        auto news = full_state(m_state);
         news.m_runners.clear();
         news.m_runners_revision = 0;
         answer(from, 0, frame_status::ok, std::move(news));
@@ -66,7 +66,7 @@
         m_told_all = told_news{
             m_changes, known, epoch,
             std::make_shared<const std::string>(encode_frame(
-                {0, epoch, frame_status::ok, news_since(m_state, known)}))};
+                {0, epoch, frame_status::ok, updates_since(m_state, known)}))};
     m_news_bytes += m_told_all->m_bytes->size();
     to.m_link->send(m_told_all->m_bytes);
 }
@@ -77,8 +77,8 @@
     candidates.reserve(m_peers.size());
     for (const auto& row : m_peers)
         candidates.push_back(row->m_relay);
-    return {choose_neighbours(candidates, asker.m_name,
-                              asker.m_relay.m_availability_zone)};
+    return {choose_relay_peers(candidates, asker.m_name,
+                               asker.m_relay.m_availability_zone)};
 }
 
 void turn_server::take_state(const cluster_state& news)
@@ -88,7 +88,7 @@
         return;
     m_state_saved = false;
     ++m_changes;
-    const auto* home = find_home(m_state.m_views, m_name);
+    const auto* home = find_replica_set(m_state.m_views, m_name);
     const auto own = home == nullptr ? cluster_view{} : *home;
     if (own != m_own_view)
     {
@@ -109,7 +109,7 @@
 
 void turn_server::tell_change(const state_change& change)
 {
-    auto parts = parts_of(m_state, change);
+    auto parts = changed_parts(m_state, change);
     // Whoever listens has been told all up to there.
     if (m_told_runners > 0)
     {
@@ -152,7 +152,7 @@
     }
     take_state(*state);
     m_state.m_settled_epoch = state->m_settled_epoch;
-    m_state.m_gone_known_since = state->m_gone_known_since;
+    m_state.m_tombstones_since = state->m_tombstones_since;
     m_state_saved = true;
 }
 
--- a/src/turns/turn_server.cpp
+++ b/src/turns/turn_server.cpp
@@ -183,7 +183,7 @@
     {
         if (status == frame_status::stale && value.m_epoch < m_own_view.m_epoch)
             answer(from, 0, frame_status::ok,
-                   parts_of(m_state, {.m_views = {m_own_view.m_set}}));
+                   changed_parts(m_state, {.m_views = {m_own_view.m_set}}));
         answer(from, value.m_call, status, appended_message{});
         return;
     }
--- a/src/turns/wire_rows.cpp
+++ b/src/turns/wire_rows.cpp
@@ -166,14 +166,14 @@
     out.setRunnersRevision(state.m_runners_revision);
     out.setRunnersSince(state.m_runners_since);
     out.setSettledEpoch(state.m_settled_epoch);
-    out.setGoneKnownSince(state.m_gone_known_since);
+    out.setGoneKnownSince(state.m_tombstones_since);
     auto runners = out.initRunners(state.m_runners.size());
     for (unsigned i = 0; i < runners.size(); ++i)
     {
         runners[i].setName(state.m_runners[i].m_name);
         runners[i].setText(state.m_runners[i].m_text);
         runners[i].setRevision(state.m_runners[i].m_revision);
-        runners[i].setGone(state.m_runners[i].m_gone);
+        runners[i].setGone(state.m_runners[i].m_removed);
     }
     fill_all(out.initViews(state.m_views.size()), state.m_views);
     fill_all(out.initRetirements(state.m_retirements.size()),
@@ -220,7 +220,7 @@
     state.m_runners_revision = in.getRunnersRevision();
     state.m_runners_since = in.getRunnersSince();
     state.m_settled_epoch = in.getSettledEpoch();
-    state.m_gone_known_since = in.getGoneKnownSince();
+    state.m_tombstones_since = in.getGoneKnownSince();
     for (const auto row : in.getRunners())
         state.m_runners.push_back({text_of(row.getName()),
                                    text_of(row.getText()), row.getRevision(),
--- a/test/cluster/test_dialing.cpp
+++ b/test/cluster/test_dialing.cpp
@@ -20,7 +20,7 @@
         if (now >= up_at)
             return now - up_at;
         const auto times = choose_dial_times({now, failures});
-        now += times.m_patience;
+        now += times.m_timeout;
         ++failures;
         now += choose_dial_times({now, failures}).m_pause;
     }
--- a/test/cluster/test_membership.cpp
+++ b/test/cluster/test_membership.cpp
@@ -59,7 +59,7 @@
     auto caught_up_before = facts_of("b");
     caught_up_before.m_caught_up_at = epoch - 1;
     auto sees_silent = facts_of("a");
-    sees_silent.m_silent = {"d"};
+    sees_silent.m_unresponsive = {"d"};
     auto retire = facts_of("c");
     retire.m_retire = true;
     auto retire_copied = retire;
@@ -73,13 +73,13 @@
     auto gathered = not_gathered;
     gathered.m_caught_up_at = epoch;
     auto retire_beside_silent = retire;
-    retire_beside_silent.m_silent = {"b"};
+    retire_beside_silent.m_unresponsive = {"b"};
     auto cut_off = facts_of("b");
-    cut_off.m_unheard = {"a", "c"};
+    cut_off.m_unreachable = {"a", "c"};
     auto hears_one = facts_of("b");
-    hears_one.m_unheard = {"a"};
+    hears_one.m_unreachable = {"a"};
     auto joins_beside_silent = facts_of("e");
-    joins_beside_silent.m_silent = {"d"};
+    joins_beside_silent.m_unresponsive = {"d"};
 
     struct sample
     {
@@ -179,7 +179,7 @@
     for (const auto& each : samples)
     {
         INFO(each.m_name);
-        CHECK(describe(wanted_view(each.m_view, each.m_facts)) ==
+        CHECK(describe(desired_view(each.m_view, each.m_facts)) ==
               each.m_expected);
     }
 }
--- a/test/cluster/test_news_sources.cpp
+++ b/test/cluster/test_news_sources.cpp
@@ -136,12 +136,12 @@
     for (const auto& row : members)
     {
         const auto sources = storage_sources(members, row.m_name, 48);
-        CHECK(sources.size() >= relays_in_zone);
+        CHECK(sources.size() >= relays_per_zone);
         for (const auto& name : sources)
             ++listeners[name];
     }
     for (const auto& name : watchers)
-        CHECK(listeners[name] <= 5 * relays_in_zone + watch_candidates +
+        CHECK(listeners[name] <= 5 * relays_per_zone + watch_candidates +
                                      static_cast<std::size_t>(per_zone));
     // Nobody hears it from further than two steps behind the watchers.
     std::set<std::string> relays;
@@ -161,7 +161,7 @@
 {
     struct sample
     {
-        listener_facts m_facts;
+        subscriber_facts m_facts;
         std::size_t m_wanted;
     };
     const auto each = GENERATE(values<sample>({
@@ -171,15 +171,15 @@
         // The first one says nothing.
         {{true, false, milliseconds(1500)}, source_count},
     }));
-    CHECK(sources_wanted(each.m_facts) == each.m_wanted);
+    CHECK(target_source_count(each.m_facts) == each.m_wanted);
 }
 
 TEST_CASE("an edge VM that starts leaves the store to others for a while",
           "[news_sources]")
 {
-    const milliseconds usual = store_patience(false, true);
-    CHECK(store_patience(false, false) == usual);
+    const milliseconds usual = store_read_delay(false, true);
+    CHECK(store_read_delay(false, false) == usual);
     // Nobody is there who could tell it.
-    CHECK(store_patience(true, false) == usual);
-    CHECK(store_patience(true, true) >= 4 * usual);
+    CHECK(store_read_delay(true, false) == usual);
+    CHECK(store_read_delay(true, true) >= 4 * usual);
 }
--- a/test/cluster/test_reach_decisions.cpp
+++ b/test/cluster/test_reach_decisions.cpp
@@ -27,10 +27,10 @@
     return out;
 }
 
-quota_question returned_grant()
+quota_request returned_grant()
 {
-    quota_question out;
-    out.m_returned = true;
+    quota_request out;
+    out.m_is_return = true;
     return out;
 }
 
@@ -58,7 +58,7 @@
         {"two in each of two zones", make_fleet(2, 4), 1, 2},
     }));
     INFO(each.m_what);
-    const auto drawn = choose_neighbours(each.m_candidates, "edge-0", "a");
+    const auto drawn = choose_relay_peers(each.m_candidates, "edge-0", "a");
     const auto near =
         std::count_if(drawn.begin(), drawn.end(), [](const neighbour& who) {
             return who.m_availability_zone == "a";
@@ -77,7 +77,7 @@
     for (const auto& asker : fleet)
     {
         for (const auto& who :
-             choose_neighbours(fleet, asker.m_name, asker.m_availability_zone))
+             choose_relay_peers(fleet, asker.m_name, asker.m_availability_zone))
             ++drawn[who.m_name];
     }
     for (const auto& [name, count] : drawn)
@@ -91,11 +91,11 @@
 TEST_CASE("who else is there changes few of the drawn neighbours", "[reach]")
 {
     auto fleet = make_fleet(4, 76);
-    const auto before = choose_neighbours(fleet, "edge-0", "a");
+    const auto before = choose_relay_peers(fleet, "edge-0", "a");
     std::erase_if(fleet, [&](const neighbour& who) {
         return who.m_name == before.front().m_name;
     });
-    const auto after = choose_neighbours(fleet, "edge-0", "a");
+    const auto after = choose_relay_peers(fleet, "edge-0", "a");
     const auto kept =
         std::count_if(before.begin(), before.end(), [&](const neighbour& who) {
             return std::find(after.begin(), after.end(), who) != after.end();
@@ -108,7 +108,7 @@
     struct row
     {
         const char* m_what;
-        std::vector<neighbour_facts> m_rows;
+        std::vector<relay_peer_facts> m_rows;
         std::string m_zone_of_next;
     };
     const auto each = GENERATE(values<row>({
@@ -130,29 +130,30 @@
          {{"x", "a", false, 0, at(0), at(-5)}, {"y", "b"}},
          "a"},
         {"one with a few questions more is as good",
-         {{"x", "a", false, busier_by - 1}, {"y", "b"}},
+         {{"x", "a", false, requests_per_load_step - 1}, {"y", "b"}},
          "a"},
         {"a busy one gives way to a farther one",
-         {{"x", "a", false, busier_by}, {"y", "b"}},
+         {{"x", "a", false, requests_per_load_step}, {"y", "b"}},
          "b"},
         {"the less busy one of two that are busy",
-         {{"x", "a", false, 9 * busier_by}, {"y", "b", false, busier_by}},
+         {{"x", "a", false, 9 * requests_per_load_step},
+          {"y", "b", false, requests_per_load_step}},
          "b"},
         {"none is left", {{"x", "a", true}, {"y", "b", false, 0, at(9)}}, ""},
     }));
     INFO(each.m_what);
-    const auto next = next_neighbour(each.m_rows, "member", "a", at(0));
+    const auto next = next_relay_peer(each.m_rows, "member", "a", at(0));
     CHECK((next ? each.m_rows[*next].m_availability_zone : "") ==
           each.m_zone_of_next);
 }
 
 TEST_CASE("members are spread over the neighbours of a zone", "[reach]")
 {
-    const std::vector<neighbour_facts> rows{{"x", "a"}, {"y", "a"}};
+    const std::vector<relay_peer_facts> rows{{"x", "a"}, {"y", "a"}};
     std::size_t first = 0;
     for (int i = 0; i < 100; ++i)
-        first += next_neighbour(rows, "member-" + std::to_string(i), "a",
-                                at(0)) == std::size_t{0}
+        first += next_relay_peer(rows, "member-" + std::to_string(i), "a",
+                                 at(0)) == std::size_t{0}
                      ? 1
                      : 0;
     CHECK(first > 25);
@@ -176,8 +177,8 @@
         {"two beats missed", {true, false, at(-1200)}, false, true},
     }));
     INFO(each.m_what);
-    CHECK(reached(each.m_facts, at(0)) == each.m_reached);
-    CHECK(wants_probe(each.m_facts, at(0)) == each.m_probed);
+    CHECK(is_reachable(each.m_facts, at(0)) == each.m_reached);
+    CHECK(needs_probe(each.m_facts, at(0)) == each.m_probed);
 }
 
 TEST_CASE("when a question goes round a silent link", "[reach]")
@@ -199,8 +200,8 @@
     }));
     INFO(each.m_what);
     const link_facts facts{true, false, at(-10), each.m_answered};
-    CHECK(is_silent(facts, at(-100), silence_before_detour(each.m_patience),
-                    at(0)) == each.m_silent);
+    CHECK(is_unresponsive(facts, at(-100), direct_timeout_for(each.m_patience),
+                          at(0)) == each.m_silent);
 }
 
 TEST_CASE("only what a caller's request needs is relayed", "[reach]")
@@ -216,10 +217,10 @@
         {fetch_message{}, true},
         {want_freshness_message{}, true},
         {want_config_message{}, true},
-        {quota_question{}, true},
+        {quota_request{}, true},
         {returned_grant(), false},
-        {place_question{}, true},
-        {place_report{}, true},
+        {placement_request{}, true},
+        {placement_report{}, true},
         {hello_message{}, false},
         {cluster_state{}, false},
         {beat_message{}, false},
@@ -228,7 +229,7 @@
         {copied_message{}, false},
         {want_neighbours_message{}, false},
         {relayed_message{}, false},
-        {quota_answer{}, false},
+        {quota_reply{}, false},
     }));
     INFO(each.m_body.index());
     CHECK(may_be_relayed(each.m_body) == each.m_may);
@@ -259,11 +260,11 @@
     int taken = 0;
     for (int i = 0; i < 20; ++i)
     {
-        if (!take_ask(budget, limits, each.m_bytes,
-                      at(0) + i * milliseconds(each.m_between_ms)))
+        if (!admit_relayed_request(budget, limits, each.m_bytes,
+                                   at(0) + i * milliseconds(each.m_between_ms)))
             continue;
         ++taken;
-        note_answer(budget, each.m_answer);
+        charge_reply(budget, each.m_answer);
     }
     CHECK(taken == each.m_taken);
 }
--- a/test/cluster/test_replica_sets.cpp
+++ b/test/cluster/test_replica_sets.cpp
@@ -76,7 +76,7 @@
         const auto zones = *rc::gen::inRange(1, 6);
         const auto count = *rc::gen::inRange(1, 80);
         auto vms = some_vms(count, zones);
-        const auto views = found_sets(vms, losses);
+        const auto views = initial_views(vms, losses);
         RC_ASSERT(views.size() == set_count_for(vms.size(), losses));
         std::map<std::string, int> seen;
         std::size_t least = SIZE_MAX;
@@ -164,8 +164,8 @@
 TEST_CASE("a VM's set is found by its name", "[replica_sets]")
 {
     const auto views = views_of({3, 3});
-    REQUIRE(find_home(views, "vm-4") != nullptr);
-    CHECK(find_home(views, "vm-4")->m_set == 1);
-    CHECK(find_home(views, "vm-9") == nullptr);
+    REQUIRE(find_replica_set(views, "vm-4") != nullptr);
+    CHECK(find_replica_set(views, "vm-4")->m_set == 1);
+    CHECK(find_replica_set(views, "vm-9") == nullptr);
     CHECK(members_of(views).size() == 6);
 }
--- a/test/cluster/test_state.cpp
+++ b/test/cluster/test_state.cpp
@@ -23,7 +23,7 @@
     std::map<std::string, std::string> out;
     for (const auto& row : state.m_runners)
     {
-        if (!row.m_gone)
+        if (!row.m_removed)
             out[row.m_name] = row.m_text;
     }
     return out;
@@ -87,7 +87,7 @@
     CHECK(state.m_config == "four");
     CHECK(state.m_runners.size() == 1);
     CHECK_FALSE(merge_state(state, news).any());
-    const auto parts = parts_of(state, change);
+    const auto parts = changed_parts(state, change);
     CHECK(parts.m_config_revision == 0);
     CHECK(parts.m_runners == news.m_runners);
     // Some entries say nothing of the others.
@@ -161,7 +161,7 @@
             const auto at = *rc::gen::inRange<std::size_t>(0, news.size());
             const auto change = merge_state(state, news[at]);
             // What is passed on brings another VM as far.
-            for (const auto& row : parts_of(state, change).m_runners)
+            for (const auto& row : changed_parts(state, change).m_runners)
                 RC_ASSERT(std::find(change.m_runners.begin(),
                                     change.m_runners.end(),
                                     row.m_name) != change.m_runners.end());
@@ -181,7 +181,7 @@
         rows.push_back({"r-" + std::to_string(i), "text", 1});
     merge_state(state, whole(1, rows));
     const auto change = merge_state(state, whole(0, {{"r-7", "new", 2}}));
-    const auto parts = parts_of(state, change);
+    const auto parts = changed_parts(state, change);
     REQUIRE(parts.m_runners.size() == 1);
     CHECK(parts.m_runners.front() == runner_entry{"r-7", "new", 2});
     CHECK(parts.m_config_revision == 0);
@@ -197,14 +197,14 @@
     news.m_config = std::string(large ? 100000 : 100, 'x');
     const auto change = merge_state(state, news);
     CHECK(change.m_config);
-    for (const auto& told : {parts_of(state, change), whole_of(state)})
+    for (const auto& told : {changed_parts(state, change), full_state(state)})
     {
         CHECK(told.m_config_revision == 5);
         CHECK(told.m_config.empty() == large);
     }
     // An announcement is no configuration.
     cluster_state other;
-    CHECK(merge_state(other, parts_of(state, change)).m_config == !large);
+    CHECK(merge_state(other, changed_parts(state, change)).m_config == !large);
 }
 
 TEST_CASE("entries that have gone are forgotten in the end, oldest first",
@@ -232,8 +232,8 @@
     news.m_evacuations = {{"z", 5, false}, {"a", 6, false}};
     auto change = merge_state(state, news);
     CHECK(change.m_evacuations == std::vector<std::string>{"z", "a"});
-    CHECK(parts_of(state, change).m_evacuations == state.m_evacuations);
-    CHECK(whole_of(state).m_evacuations == state.m_evacuations);
+    CHECK(changed_parts(state, change).m_evacuations == state.m_evacuations);
+    CHECK(full_state(state).m_evacuations == state.m_evacuations);
     CHECK(evacuated_zones(state) == std::vector<std::string>{"a", "z"});
     // Two operators: the later write counts, however late the earlier comes.
     news.m_evacuations = {{"z", 8, true}, {"a", 4, true}};
@@ -273,7 +273,7 @@
                 ? 0
                 : 1;
     CHECK(touched <= 2);
-    CHECK(parts_of(state, change).m_runners.size() == 2);
+    CHECK(changed_parts(state, change).m_runners.size() == 2);
 }
 
 TEST_CASE("as many that went are remembered as there are runners", "[state]")
--- a/test/cluster/test_view.cpp
+++ b/test/cluster/test_view.cpp
@@ -205,7 +205,7 @@
         {{full, full, full, full, lost}, 2, true, ""},
     }));
     const auto view = view_of(each.m_states);
-    CHECK(may_abandon(view, "m0", each.m_losses) == each.m_may_abandon);
+    CHECK(may_mark_lost(view, "m0", each.m_losses) == each.m_may_abandon);
     const auto* collector = collector_of(view, each.m_losses);
     CHECK((collector == nullptr ? "" : collector->m_name) == each.m_collector);
 }
--- a/test/cluster/test_view_histories.cpp
+++ b/test/cluster/test_view_histories.cpp
@@ -80,11 +80,11 @@
                 continue;
             // Whoever hears nobody takes nobody for silent.
             if (other.m_silent_long && !vm.m_cut)
-                facts.m_silent.insert(row.m_name);
+                facts.m_unresponsive.insert(row.m_name);
             if (vm.m_cut || other.m_cut || !other.m_alive)
-                facts.m_unheard.insert(row.m_name);
+                facts.m_unreachable.insert(row.m_name);
         }
-        auto next = wanted_view(m_view, facts);
+        auto next = desired_view(m_view, facts);
         if (!next)
             return;
         next->m_epoch = m_view.m_epoch + 1;
@@ -120,7 +120,7 @@
         const auto count =
             std::count_if(plan.m_any.begin(), plan.m_any.end(), done);
         if (std::all_of(plan.m_required.begin(), plan.m_required.end(), done) &&
-            count >= static_cast<std::ptrdiff_t>(plan.m_enough))
+            count >= static_cast<std::ptrdiff_t>(plan.m_any_needed))
         {
             if (vm.m_caught_up_at != epoch)
                 m_trace += name + " has copied| ";
--- a/test/fleet/test_budget_calls.cpp
+++ b/test/fleet/test_budget_calls.cpp
@@ -21,7 +21,7 @@
         auto config = proxy_world::config(2);
         config.m_services["svc"].m_engine =
             engine_profile{4, 100000, event_tokens};
-        REQUIRE(m_proxy.take_config(config));
+        REQUIRE(m_proxy.apply_config(config));
     }
 
     std::string ask_turn(const std::string& id, const std::string& budget,
@@ -86,7 +86,7 @@
                           runner_step::after::close};
     edge.m_first.script({one, cut, full, one});
     edge.m_second.script({full});
-    edge.m_proxy.take_runners(
+    edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
     // Each may take 24: 8 were handed out, 8 by a cut stream, none by a
     // refused one.
@@ -127,7 +127,7 @@
 {
     // Spread by load alone, each turn had its whole history read anew.
     budget_world edge;
-    edge.m_proxy.take_runners(
+    edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 64, false},
          {"r2", "svc", edge.m_second.address(), "z", 64, false}});
     edge.m_first.script({{event_answer({"a"})}});
--- a/test/fleet/test_config_fetcher.cpp
+++ b/test/fleet/test_config_fetcher.cpp
@@ -103,8 +103,8 @@
             1,
             {{"near", m_near.address(), "z", 1, member_state::full},
              {"far", m_far.address(), "y", 1, member_state::full}}};
-        m_fetcher.follow(view.m_members);
-        m_links.follow(view.m_members);
+        m_fetcher.set_members(view.m_members);
+        m_links.set_members(view.m_members);
     }
     bool wait_for_config(milliseconds limit = milliseconds(8000))
     {
--- a/test/fleet/test_disruptions.cpp
+++ b/test/fleet/test_disruptions.cpp
@@ -24,7 +24,7 @@
     }
     void follow()
     {
-        m_links.follow(members_of(m_state.m_views));
+        m_links.set_members(members_of(m_state.m_views));
         m_client.follow(m_state.m_views);
     }
 
--- a/test/fleet/test_member_links.cpp
+++ b/test/fleet/test_member_links.cpp
@@ -51,9 +51,10 @@
     /// Whatever either side sent before has come: frames keep their order.
     void sync()
     {
-        const auto answer = run_task(
-            m_fleet.m_io, m_links.ask("vm-9", 0, fetch_message{"none"},
-                                      m_fleet.m_time.now() + usual_patience));
+        const auto answer =
+            run_task(m_fleet.m_io,
+                     m_links.request("vm-9", 0, fetch_message{"none"},
+                                     m_fleet.m_time.now() + usual_patience));
         REQUIRE(answer.has_value());
         REQUIRE(answer->has_value());
     }
@@ -77,7 +78,7 @@
     told_world world;
     world.tell(1);
     world.m_links.subscribe({});
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     REQUIRE(world.wait_for([&] { return world.m_links.connected("vm-9"); }));
     world.tell(2);
     world.sync();
@@ -117,14 +118,14 @@
     INFO(each.m_what);
     told_world world;
     auto& links = world.m_links;
-    links.follow(world.m_members);
+    links.set_members(world.m_members);
     REQUIRE(world.wait_for([&] { return links.connected("vm-9"); }));
     world.sync();
     world.m_server.send_beat(each.m_age, each.m_watches);
     world.sync();
-    CHECK((links.store_heard() != instant{}) == each.m_heard);
+    CHECK((links.store_last_seen() != instant{}) == each.m_heard);
     CHECK(links.watches_store("vm-9") == each.m_is_watcher);
-    CHECK((links.store_watched() != instant{}) == each.m_is_watcher);
+    CHECK((links.store_last_watched() != instant{}) == each.m_is_watcher);
 }
 
 TEST_CASE("silence counts from when a member is followed", "[member_links]")
@@ -134,13 +135,13 @@
     asio::io_context io(1);
     const system_clock time;
     member_links links(io, time, "edge");
-    CHECK(links.last_heard("a") == instant{});
+    CHECK(links.last_seen("a") == instant{});
     const auto before = time.now();
-    links.follow({{"a", "127.0.0.1:1", "z", 1, member_state::joining}});
-    CHECK(links.last_heard("a") >= before);
+    links.set_members({{"a", "127.0.0.1:1", "z", 1, member_state::joining}});
+    CHECK(links.last_seen("a") >= before);
     CHECK_FALSE(links.connected("a"));
-    CHECK(links.hopeful("a"));
-    REQUIRE(run_until(io, [&] { return !links.hopeful("a"); }));
+    CHECK(links.may_reach("a"));
+    REQUIRE(run_until(io, [&] { return !links.may_reach("a"); }));
     links.stop();
 }
 
@@ -150,10 +151,10 @@
     // twice, and be told all that is known twice.
     told_world world;
     world.tell(1);
-    world.m_links.seek({world.m_members.front().m_address});
+    world.m_links.connect_seeds({world.m_members.front().m_address});
     REQUIRE(world.wait_for([&] { return world.m_told == 1; }));
     world.m_links.subscribe({"vm-9"});
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     CHECK(world.m_links.connected("vm-9"));
     world.sync();
     CHECK(world.m_told == 1);
@@ -169,10 +170,10 @@
 {
     told_world world;
     world.tell(1);
-    world.m_links.seek({world.m_members.front().m_address});
+    world.m_links.connect_seeds({world.m_members.front().m_address});
     REQUIRE(world.wait_for([&] { return world.m_told == 1; }));
     world.m_links.subscribe({});
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     world.sync();
     world.tell(2);
     world.sync();
@@ -208,14 +209,14 @@
 {
     const auto count = GENERATE(20, 80);
     many_members world(count);
-    world.m_links.keep_connected_up_to(10);
+    world.m_links.set_max_persistent(10);
     world.m_links.subscribe({"vm-0", "vm-1"});
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     REQUIRE(world.wait_for([&] { return world.connections() == 2; }));
     CHECK(world.connections() == 2);
     CHECK(world.m_links.connected("vm-7"));
     CHECK(world.m_links.reachable("vm-7"));
-    CHECK_FALSE(world.m_links.reached_directly("vm-7"));
+    CHECK_FALSE(world.m_links.reachable_directly("vm-7"));
     // A question brings its connection, and waits for it.
     int answers = 0;
     for (const char* name : {"vm-7", "vm-7", "vm-8"})
@@ -232,9 +233,9 @@
 {
     many_members world(20);
     world.m_members[7].m_address = "127.0.0.1:1";
-    world.m_links.keep_connected_up_to(10);
+    world.m_links.set_max_persistent(10);
     world.m_links.subscribe({"vm-0"});
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     bool ended = false;
     const auto ask = [&] {
         ended = false;
@@ -264,13 +265,13 @@
     const std::uint64_t known = GENERATE(0, 10);
     if (known > 0)
         merge_state(world.m_state, all);
-    world.m_links.on_greeting([&] { return known; });
+    world.m_links.on_hello([&] { return known; });
     cluster_state news;
     news.m_runners_since = 10;
     news.m_runners_revision = 12;
     news.m_runners = {{"r1", "new", 11}, {"r2", "", 12, true}};
     world.m_server.take_state(news);
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     REQUIRE(
         world.wait_for([&] { return world.m_state.m_runners_revision == 12; }));
     CHECK(count_runners(world.m_state) == 499);
@@ -288,11 +289,11 @@
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
     all.m_views = {{.m_epoch = 3, .m_members = world.m_members}};
     world.m_server.take_state(all);
-    world.m_links.seek({world.m_members.front().m_address});
+    world.m_links.connect_seeds({world.m_members.front().m_address});
     REQUIRE(world.wait_for([&] { return !world.m_state.m_views.empty(); }));
     CHECK(world.m_entries <= 1000);
     // Its sources tell it all.
-    world.m_links.follow(world.m_members);
+    world.m_links.set_members(world.m_members);
     CHECK(world.wait_for([&] {
         return count_runners(world.m_state) ==
                static_cast<std::size_t>(runners);
--- a/test/fleet/test_places.cpp
+++ b/test/fleet/test_places.cpp
@@ -27,11 +27,11 @@
                     R"({"service":"llm","address":"127.0.0.1:1","zone":"vm-0",
                 "slots":2,"state":"ready","seq":1})");
         start_three();
-        m_places.follow(members_of(m_state.m_views));
+        m_places.set_members(members_of(m_state.m_views));
     }
-    static place_question question(const std::string& call)
+    static placement_request question(const std::string& call)
     {
-        place_question out;
+        placement_request out;
         out.m_service = hash64("llm");
         out.m_call = hash64(call);
         out.m_parts = {{1, 12600}, {hash64(call), 800}};
@@ -39,20 +39,22 @@
         out.m_rank = call_rank::first;
         return out;
     }
-    place_grant take(place_client& places, const place_question& what)
+    placement_result take(placement_client& places,
+                          const placement_request& what)
     {
-        return run_task(m_io, places.take(what)).value_or(place_grant{});
+        return run_task(m_io, places.acquire(what))
+            .value_or(placement_result{});
     }
     /// Until the storage VMs know the engine.
     bool take_first(const std::string& call)
     {
         return run_until(m_io, [&] {
-            return take(m_places, question(call)).m_answer.m_outcome ==
-                   place_outcome::placed;
+            return take(m_places, question(call)).m_reply.m_outcome ==
+                   placement_outcome::placed;
         });
     }
 
-    place_client m_places;
+    placement_client m_places;
 };
 
 } // namespace
@@ -73,17 +75,17 @@
         {{{1, 99}, {2, 5000}}, 100, false},
         {{{1, 5000}, {2, 10}}, 0, false},
     }));
-    CHECK(shares_large_part(each.m_parts, each.m_from) == each.m_wanted);
+    CHECK(has_large_shared_part(each.m_parts, each.m_from) == each.m_wanted);
 }
 
 TEST_CASE("those who know the same members ask the same VM", "[places]")
 {
     const std::vector<std::string> members{"a", "b", "c", "d", "e"};
     const std::vector<std::string> shuffled{"d", "b", "e", "a", "c"};
-    const auto givers = place_givers(members, 7);
+    const auto givers = placement_vms(members, 7);
     CHECK(givers.size() == 3);
-    CHECK(place_givers(shuffled, 7) == givers);
-    CHECK(place_givers({}, 7).empty());
+    CHECK(placement_vms(shuffled, 7) == givers);
+    CHECK(placement_vms({}, 7).empty());
 }
 
 TEST_CASE("places of a VM that has died come back at once", "[fleet][places]")
@@ -92,23 +94,24 @@
     REQUIRE(fleet.take_first("a"));
     auto dying =
         std::make_unique<member_links>(fleet.m_io, fleet.m_time, "dying");
-    dying->follow(members_of(fleet.m_state.m_views));
+    dying->set_members(members_of(fleet.m_state.m_views));
     REQUIRE(run_until(fleet.m_io, [&] {
         return dying->connected("vm-0") && dying->connected("vm-1") &&
                dying->connected("vm-2");
     }));
-    place_client other(fleet.m_io, fleet.m_time, *dying, from_tokens);
-    other.follow(members_of(fleet.m_state.m_views));
+    placement_client other(fleet.m_io, fleet.m_time, *dying, from_tokens);
+    other.set_members(members_of(fleet.m_state.m_views));
     // All slots and the one call that may wait at the engine are taken.
     for (const char* call : {"b", "c"})
-        REQUIRE(fleet.take(other, engine_fleet::question(call))
-                    .m_answer.m_outcome == place_outcome::placed);
+        REQUIRE(
+            fleet.take(other, engine_fleet::question(call)).m_reply.m_outcome ==
+            placement_outcome::placed);
     CHECK(fleet.take(fleet.m_places, engine_fleet::question("d"))
-              .m_answer.m_outcome == place_outcome::no_room);
+              .m_reply.m_outcome == placement_outcome::no_room);
     dying->stop();
     CHECK(run_until(fleet.m_io, [&] {
         return fleet.take(fleet.m_places, engine_fleet::question("d"))
-                   .m_answer.m_outcome == place_outcome::placed;
+                   .m_reply.m_outcome == placement_outcome::placed;
     }));
 }
 
@@ -118,30 +121,29 @@
     engine_fleet fleet;
     REQUIRE(fleet.take_first("a"));
     const auto first = fleet.take(fleet.m_places, engine_fleet::question("b"));
-    REQUIRE(first.m_answer.m_outcome == place_outcome::placed);
+    REQUIRE(first.m_reply.m_outcome == placement_outcome::placed);
     REQUIRE(fleet.take(fleet.m_places, engine_fleet::question("c"))
-                .m_answer.m_outcome == place_outcome::placed);
+                .m_reply.m_outcome == placement_outcome::placed);
     auto waiting = engine_fleet::question("d");
     waiting.m_rank = call_rank::under_way;
-    waiting.m_patience_ms = 3000;
-    std::optional<place_grant> got;
-    asio::co_spawn(fleet.m_io, fleet.m_places.take(waiting),
-                   [&](const std::exception_ptr&, const place_grant& grant) {
-                       got = grant;
-                   });
+    waiting.m_queue_timeout_ms = 3000;
+    std::optional<placement_result> got;
+    asio::co_spawn(fleet.m_io, fleet.m_places.acquire(waiting),
+                   [&](const std::exception_ptr&,
+                       const placement_result& grant) { got = grant; });
     const auto asked = fleet.m_time.now();
     run_until(fleet.m_io,
               [&] { return fleet.m_time.now() - asked > milliseconds(150); });
     CHECK_FALSE(got.has_value());
-    place_report ended;
-    ended.m_runner = first.m_answer.m_runner;
-    ended.m_end = place_end::whole;
+    placement_report ended;
+    ended.m_runner = first.m_reply.m_runner;
+    ended.m_end = placement_end::whole;
     ended.m_first_byte_ms = 20;
     ended.m_run_ms = 100;
-    ended.m_tokens = 80;
-    fleet.m_places.tell_end(first, ended);
+    ended.m_output_tokens = 80;
+    fleet.m_places.report_end(first, ended);
     REQUIRE(run_until(fleet.m_io, [&] { return got.has_value(); }));
-    CHECK(got->m_answer.m_outcome == place_outcome::placed);
+    CHECK(got->m_reply.m_outcome == placement_outcome::placed);
 }
 
 TEST_CASE("without an answer an edge VM chooses by itself", "[fleet][places]")
@@ -152,6 +154,6 @@
         fleet.lose(name);
     const auto asked = fleet.m_time.now();
     const auto grant = fleet.take(fleet.m_places, engine_fleet::question("b"));
-    CHECK(grant.m_answer.m_outcome == place_outcome::not_placing);
+    CHECK(grant.m_reply.m_outcome == placement_outcome::not_placing);
     CHECK(fleet.m_time.now() - asked < milliseconds(200));
 }
--- a/test/fleet/test_proxy.cpp
+++ b/test/fleet/test_proxy.cpp
@@ -145,7 +145,7 @@
     edge.m_first.script({{whole_answer(500, "own error")}});
     edge.m_second.script({{whole_answer(500, "own error")}});
     if (one_runner)
-        edge.m_proxy.take_runners(
+        edge.m_proxy.set_runners(
             {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
     const auto got = edge.ask(world::get("/get/"), "own error");
     CHECK(has(got, "HTTP/1.1 500 "));
@@ -155,7 +155,7 @@
 TEST_CASE("nobody listens there: not run", "[proxy]")
 {
     world edge;
-    edge.m_proxy.take_runners({{"r1", "svc", "127.0.0.1:1", "z", 4, false}});
+    edge.m_proxy.set_runners({{"r1", "svc", "127.0.0.1:1", "z", 4, false}});
     CHECK(
         has(edge.ask(world::post("/once/", "x"), "\r\n\r\n"), "HTTP/1.1 503 "));
 }
@@ -231,10 +231,9 @@
     auto config = world::config(2);
     if (engine)
         config.m_services["svc"].m_engine = engine_profile{64, 100000, 1};
-    REQUIRE(edge.m_proxy.take_config(config));
-    edge.m_proxy.take_runners(
-        {{"r1", "svc", edge.m_first.address(), "z", 64},
-         {"r2", "svc", edge.m_second.address(), "z", 64}});
+    REQUIRE(edge.m_proxy.apply_config(config));
+    edge.m_proxy.set_runners({{"r1", "svc", edge.m_first.address(), "z", 64},
+                              {"r2", "svc", edge.m_second.address(), "z", 64}});
     edge.m_first.script({{whole_answer(200, "mine")}});
     edge.m_second.script({{whole_answer(200, "mine")}});
     constexpr std::size_t asked = 24;
@@ -324,11 +323,11 @@
     world edge;
     edge.m_first.script({{whole_answer(200, "ok")}});
     CHECK(has(edge.ask(world::get("/other/"), "\r\n\r\n"), "HTTP/1.1 404 "));
-    CHECK_FALSE(edge.m_proxy.take_config(world::config(1)));
+    CHECK_FALSE(edge.m_proxy.apply_config(world::config(1)));
     auto newer = world::config(3);
     newer.m_routes.clear();
-    CHECK(edge.m_proxy.take_config(newer));
-    CHECK_FALSE(edge.m_proxy.take_config(world::config(2)));
+    CHECK(edge.m_proxy.apply_config(newer));
+    CHECK_FALSE(edge.m_proxy.apply_config(world::config(2)));
     CHECK(has(edge.ask(world::get("/get/"), "\r\n\r\n"), "HTTP/1.1 404 "));
 
     proxy bare(edge.m_io, edge.m_time, wire_names{}, "z", edge.m_turns);
@@ -391,14 +390,14 @@
     edge.m_port = free_port(edge.m_io);
     std::string reason;
     REQUIRE(starting.listen(edge.endpoint(), reason));
-    starting.take_runners({{"r1", "svc", edge.m_first.address(), "z", 4}});
+    starting.set_runners({{"r1", "svc", edge.m_first.address(), "z", 4}});
     edge.m_first.script({{whole_answer(200, "fine")}});
     edge.connect();
     edge.send(world::get("/get/a", "Pepperturn-Deadline-Ms: 1500\r\n"));
     const auto asked = edge.m_time.now();
     const milliseconds start{700};
     CHECK_FALSE(edge.wait_for([&] { return !edge.m_received.empty(); }, start));
-    starting.take_config(world::config(1));
+    starting.apply_config(world::config(1));
     CHECK(edge.wait_for([&] { return has(edge.m_received, "fine"); }));
     CHECK(elapsed(asked, edge.m_time.now()) < milliseconds(1500));
 }
@@ -427,16 +426,16 @@
     edge.m_second.script({{whole_answer(200, "second")}});
     runner_info first{"r1", "svc", edge.m_first.address(), "z", 4, false};
     runner_info second{"r2", "svc", edge.m_second.address(), "y", 4, false};
-    first.m_cold_left = milliseconds(60000);
-    second.m_cold_left = milliseconds(other_is_cold ? 60000 : 0);
-    edge.m_proxy.take_runners({first, second});
+    first.m_cold_remaining = milliseconds(60000);
+    second.m_cold_remaining = milliseconds(other_is_cold ? 60000 : 0);
+    edge.m_proxy.set_runners({first, second});
     const auto got = edge.ask(world::post("/once/", "x"), "\r\n\r\n");
     CHECK(has(got, other_is_cold ? "HTTP/1.1 503 " : "HTTP/1.1 200 "));
     CHECK(edge.m_first.requests().empty());
     CHECK(edge.m_second.requests().empty() == other_is_cold);
     // Whoever was refused may come back soon, and its runners are warm.
-    first.m_cold_left = milliseconds(0);
-    edge.m_proxy.take_runners({first, second});
+    first.m_cold_remaining = milliseconds(0);
+    edge.m_proxy.set_runners({first, second});
     CHECK(
         has(edge.ask(world::post("/once/", "x"), "\r\n\r\n"), "HTTP/1.1 200 "));
     CHECK(edge.m_first.requests().size() == 1);
--- a/test/fleet/test_proxy_workspaces.cpp
+++ b/test/fleet/test_proxy_workspaces.cpp
@@ -18,14 +18,15 @@
         REQUIRE(add_workspace(*next.m_directory, {"ws", {}, {}}, {"key-1"})
                     .empty());
         next.m_routes.front().m_public = true;
-        m_proxy.take_config(std::move(next), 2);
-        m_proxy.guard_workspaces({[this] {
-                                      ++m_age_asked;
-                                      return m_age_asked > m_fresh_answers
-                                                 ? milliseconds(60000)
-                                                 : m_config_age;
-                                  },
-                                  staleness_limits{}, nullptr});
+        m_proxy.apply_config(std::move(next), 2);
+        m_proxy.enable_workspace_admission({[this] {
+                                                ++m_age_asked;
+                                                return m_age_asked >
+                                                               m_fresh_answers
+                                                           ? milliseconds(60000)
+                                                           : m_config_age;
+                                            },
+                                            staleness_limits{}, nullptr});
         m_first.script({{whole_answer(200, "body")}});
         m_second.script({{whole_answer(200, "body")}});
     }
--- a/test/fleet/test_reach.cpp
+++ b/test/fleet/test_reach.cpp
@@ -28,8 +28,8 @@
     announced(reach_world& fleet, const neighbour& who)
         : m_links(fleet.m_io, fleet.m_time, who.m_name)
     {
-        m_links.offer_relay(who.m_address, who.m_availability_zone);
-        m_links.follow(members_of(fleet.m_state.m_views));
+        m_links.advertise_relay(who.m_address, who.m_availability_zone);
+        m_links.set_members(members_of(fleet.m_state.m_views));
         REQUIRE(fleet.wait([&] {
             return m_links.connected("vm-0") && m_links.connected("vm-1") &&
                    m_links.connected("vm-2");
@@ -132,7 +132,7 @@
     await_neighbours(fleet, edge, 1);
     edge.cut();
     // Longer than a silent member counts as heard.
-    const auto end = fleet.m_time.now() + 2 * heard_within;
+    const auto end = fleet.m_time.now() + 2 * liveness_timeout;
     while (fleet.m_time.now() < end)
     {
         fleet.m_io.run_one_for(milliseconds(20));
@@ -182,7 +182,7 @@
         std::function<handler(reach_world&)> m_make;
     };
     const auto pass_on = [](reach_world& fleet, const frame& value,
-                            frame_done done) {
+                            reply_handler done) {
         const auto& asked = std::get<relayed_message>(value.m_body);
         std::string reason;
         auto question = decode_frame(asked.m_frame, reason);
@@ -258,8 +258,8 @@
     second.cut();
     // Until each knows that it hears no member itself.
     REQUIRE(fleet.wait([&] {
-        return !first.m_links.reached_directly("vm-0") &&
-               !second.m_links.reached_directly("vm-0");
+        return !first.m_links.reachable_directly("vm-0") &&
+               !second.m_links.reachable_directly("vm-0");
     }));
     const auto relayed =
         first.metric("relayed_asks") + second.metric("relayed_asks");
@@ -272,11 +272,11 @@
           relayed);
     // An owner that nobody reaches grants nothing.
     quota_client quota(fleet.m_io, fleet.m_time, first.m_links);
-    quota.follow(members_of(fleet.m_state.m_views));
-    quota_question question;
+    quota.set_members(members_of(fleet.m_state.m_views));
+    quota_request question;
     question.m_workspace = 7;
     question.m_limit = {1000, 1000};
-    const auto grant = run_task(fleet.m_io, quota.take(question));
+    const auto grant = run_task(fleet.m_io, quota.acquire(question));
     REQUIRE(grant.has_value());
     CHECK(grant->m_outcome != quota_outcome::granted);
 }
@@ -404,8 +404,8 @@
     std::string reason;
     REQUIRE(server.listen({asio::ip::make_address("127.0.0.1"), port}, reason));
     const auto link =
-        run_task(io, connect_frames(io, "127.0.0.1:" + std::to_string(port),
-                                    milliseconds(2000), reason));
+        run_task(io, connect_frame_link(io, "127.0.0.1:" + std::to_string(port),
+                                        milliseconds(2000), reason));
     REQUIRE((link && *link));
     int refused = 0;
     (*link)->start(
@@ -455,20 +455,20 @@
     reach_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 1);
     edge.cut();
-    freshness_keeper keeper(fleet.m_io, fleet.m_time, edge.m_links,
+    freshness_poller keeper(fleet.m_io, fleet.m_time, edge.m_links,
                             {[] { return std::vector<std::string>{"vm-0"}; },
                              [] { return std::uint64_t{4}; },
                              [](const std::string&, std::uint64_t) {}});
     const auto begun = fleet.m_time.now();
-    keeper.want(true);
+    keeper.set_enabled(true);
     instant earliest{};
     REQUIRE(fleet.wait([&] {
-        earliest = keeper.freshness().m_config_at;
+        earliest = keeper.freshness().m_config_confirmed_at;
         return earliest > begun;
     }));
     const auto age = age_of(earliest, fleet.m_time.now());
     CHECK(age >= held + milliseconds(10));
-    keeper.want(false);
+    keeper.set_enabled(false);
 }
 
 TEST_CASE("a relay address that is none is refused at the start", "[reach]")
--- a/test/fleet/test_readers.cpp
+++ b/test/fleet/test_readers.cpp
@@ -32,8 +32,8 @@
             row.m_target_latency = timeout;
         }
         next.m_limits.m_max_body_bytes = 8 * megabyte;
-        m_proxy.take_config(next);
-        m_proxy.bound_memory(memory_mb);
+        m_proxy.apply_config(next);
+        m_proxy.set_memory_limit(memory_mb);
     }
 
     std::shared_ptr<slow_caller> begin(const std::string& request)
@@ -45,7 +45,7 @@
     }
     [[nodiscard]] std::uint64_t held() const
     {
-        return m_proxy.held().total();
+        return m_proxy.buffered().total();
     }
     void run_for(milliseconds span)
     {
@@ -114,10 +114,10 @@
     config.m_routes[2].m_services = {{"streams", 1.0}};
     for (auto& row : config.m_routes)
         row.m_timeout = row.m_target_latency = milliseconds(20000);
-    edge.m_proxy.take_config(config);
+    edge.m_proxy.apply_config(config);
     const auto addresses = read_line(from);
     const auto blank = addresses.find(' ');
-    edge.m_proxy.take_runners(
+    edge.m_proxy.set_runners(
         {{"p", "plain", addresses.substr(0, blank), "z", 64, false},
          {"s", "streams", addresses.substr(blank + 1), "z", 64, false}});
     auto out = std::to_string(edge.m_port) + '\n' + memory_lines();
@@ -142,13 +142,13 @@
     // A piece and what the kernel has; the rest is still the runner's.
     CHECK(edge.held() > 0);
     CHECK(edge.held() < 64 * kilobyte);
-    CHECK(edge.m_proxy.active() == 1);
+    CHECK(edge.m_proxy.active_requests() == 1);
     caller->read(8192, milliseconds(0));
     CHECK(
         edge.run_to([&] { return caller->received().ends_with("0\r\n\r\n"); }));
     CHECK(unchunked(caller->received()) == unchunked(answer));
     CHECK(edge.run_to([&] { return edge.held() == 0; }));
-    CHECK(edge.m_proxy.held().readers_cut() == 0);
+    CHECK(edge.m_proxy.buffered().disconnected_readers() == 0);
 }
 
 TEST_CASE("a plain answer is delivered while its caller takes it", "[readers]")
@@ -162,8 +162,8 @@
     caller->read(8192, milliseconds(0));
     CHECK(edge.run_to([&] { return caller->received().ends_with(body); }));
     CHECK(edge.run_to([&] { return edge.held() == 0; }));
-    CHECK(edge.m_proxy.held().slow_readers() == 1);
-    CHECK(edge.m_proxy.held().readers_cut() == 0);
+    CHECK(edge.m_proxy.buffered().slow_readers() == 1);
+    CHECK(edge.m_proxy.buffered().disconnected_readers() == 0);
 }
 
 // A VM that holds more than its bound is killed with all its calls.
@@ -172,7 +172,7 @@
     // 12 MB for callers and runners.
     constexpr std::uint32_t memory_mb = 56;
     readers_world edge(memory_mb);
-    const auto bound = edge.m_proxy.held().bound();
+    const auto bound = edge.m_proxy.buffered().bound();
     const std::string large(64 * kilobyte, 'l');
     const std::string usual(3000, 'u');
     edge.m_first.script({{whole_answer(200, large)}});
@@ -199,9 +199,9 @@
         edge.run_for(milliseconds(50));
     }
     CHECK(served == 30);
-    CHECK(edge.m_proxy.held().most() <= bound);
-    CHECK(edge.m_proxy.held().readers_cut() > 0);
-    CHECK(edge.m_proxy.held().readers_cut() < 200);
+    CHECK(edge.m_proxy.buffered().peak() <= bound);
+    CHECK(edge.m_proxy.buffered().disconnected_readers() > 0);
+    CHECK(edge.m_proxy.buffered().disconnected_readers() < 200);
     for (const auto& caller : edge.m_callers)
         caller->close();
     CHECK(edge.run_to([&] { return edge.held() == 0; }));
@@ -234,7 +234,7 @@
     INFO(row.m_what);
     // 4 MB for callers and runners.
     readers_world edge(1);
-    const auto bound = edge.m_proxy.held().bound();
+    const auto bound = edge.m_proxy.buffered().bound();
     const auto fill = [&](const std::string& answer) {
         edge.m_first.script({{answer}});
         edge.m_second.script({{answer}});
@@ -259,7 +259,7 @@
             caller->read(4096, milliseconds(0));
     }
     edge.run_for(milliseconds(1000));
-    CHECK(edge.m_proxy.held().most() <= bound);
+    CHECK(edge.m_proxy.buffered().peak() <= bound);
     for (const auto& caller : edge.m_callers)
         caller->close();
     CHECK(edge.run_to([&] { return edge.held() == 0; }));
@@ -269,7 +269,7 @@
 {
     // 4 MB for callers and runners; the three answers are more.
     readers_world edge(1);
-    edge.m_proxy.take_runners(
+    edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
     const std::vector<std::string> bodies{std::string(2000000, 'a'),
                                           std::string(1000000, 'b'),
@@ -286,13 +286,14 @@
     CHECK(edge.run_to([&] { return edge.held() > 3000000; }));
     const auto late = edge.begin(readers_world::get("/get/"));
     late->read(16384, milliseconds(0));
-    CHECK(edge.run_to([&] { return edge.m_proxy.held().readers_cut() == 1; }));
+    CHECK(edge.run_to(
+        [&] { return edge.m_proxy.buffered().disconnected_readers() == 1; }));
     CHECK(edge.run_to([&] { return late->received().ends_with(bodies[2]); }));
     CHECK(edge.run_to([&] { return reads->received().ends_with(bodies[1]); }));
     stops->read(4096, milliseconds(0));
     CHECK(edge.run_to([&] { return stops->ended(); }));
     CHECK(stops->received().size() < bodies[0].size());
-    CHECK(edge.m_proxy.held().readers_cut() == 1);
+    CHECK(edge.m_proxy.buffered().disconnected_readers() == 1);
     CHECK(edge.run_to([&] { return edge.held() == 0; }));
 }
 
@@ -326,9 +327,9 @@
           true, after::keep}});
     edge.begin(readers_world::get(stream ? "/stream/" : "/get/"));
     CHECK(edge.run_to([&] { return edge.held() > 0; }));
-    CHECK(edge.run_to([&] { return edge.m_proxy.active() == 0; },
+    CHECK(edge.run_to([&] { return edge.m_proxy.active_requests() == 0; },
                       milliseconds(2000)));
-    CHECK(edge.m_proxy.held().readers_cut() == 1);
+    CHECK(edge.m_proxy.buffered().disconnected_readers() == 1);
     CHECK(edge.held() == 0);
 }
 
@@ -343,7 +344,7 @@
     spawn(io, "deaf_runner", accept_all(acceptor, [&](tcp::socket socket) {
               taken.push_back(std::move(socket));
           }));
-    edge.m_proxy.take_runners(
+    edge.m_proxy.set_runners(
         {{"deaf", "svc", to_text(acceptor.local_endpoint()), "z", 4, false}});
     const std::string body(2 * megabyte, 'r');
     const auto caller = edge.begin(edge.post("/once/", body));
--- a/test/fleet/test_replica_sets.cpp
+++ b/test/fleet/test_replica_sets.cpp
@@ -71,9 +71,10 @@
         const auto view = m_state.m_views[set];
         for (const auto& row : view.m_members)
         {
-            const auto answer = run_task(
-                m_io, m_links.ask(row.m_name, view.m_epoch, fetch_message{turn},
-                                  m_time.now() + usual_patience));
+            const auto answer =
+                run_task(m_io, m_links.request(row.m_name, view.m_epoch,
+                                               fetch_message{turn},
+                                               m_time.now() + usual_patience));
             REQUIRE(answer.has_value());
             REQUIRE(answer->has_value());
             const auto* fetched =
--- a/test/fleet/test_resumed_streams.cpp
+++ b/test/fleet/test_resumed_streams.cpp
@@ -136,13 +136,15 @@
         stream_relay relay(true, true, 0);
         std::string passed;
         for (const char byte : all.substr(0, at))
-            passed += relay.take({&byte, 1});
-        relay.drop_rest();
+            passed += relay.consume({&byte, 1});
+        relay.discard_partial_event();
         CHECK(all.starts_with(passed));
-        CHECK(relay.events().whole_events() == relay.last_event().value_or(9));
-        CHECK(relay.events().begun_events() == relay.events().whole_events());
-        passed += relay.take(all.substr(passed.size()));
-        passed += relay.take_rest();
+        CHECK(relay.events().complete_events() ==
+              relay.last_event().value_or(9));
+        CHECK(relay.events().started_events() ==
+              relay.events().complete_events());
+        passed += relay.consume(all.substr(passed.size()));
+        passed += relay.flush();
         CHECK(passed == all);
         CHECK(relay.events().data() == "a\nb\nc\n");
     }
--- a/test/fleet/test_second_tries.cpp
+++ b/test/fleet/test_second_tries.cpp
@@ -49,7 +49,7 @@
 {
     world edge;
     learn(edge);
-    edge.m_proxy.take_runners(
+    edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
     edge.m_first.script({hangs});
     for (int i = 0; i < 4; ++i)
--- a/test/fleet/test_storage_vms.cpp
+++ b/test/fleet/test_storage_vms.cpp
@@ -180,7 +180,8 @@
     newcomer.on_state([&](const std::string&, const cluster_state& news) {
         merge_state(heard, news);
     });
-    newcomer.seek({"127.0.0.1:" + std::to_string(fleet.m_vms["vm-0"]->m_port)});
+    newcomer.connect_seeds(
+        {"127.0.0.1:" + std::to_string(fleet.m_vms["vm-0"]->m_port)});
     REQUIRE(run_until(fleet.m_io, [&] { return !heard.m_views.empty(); }));
     CHECK(heard.m_config == R"({"version":4})");
     CHECK(heard.m_views.front().m_members.size() == 3);
@@ -209,15 +210,15 @@
     cluster_state heard;
     newcomer.on_state([&](const std::string&, const cluster_state& news) {
         if (!merge_state(heard, news).m_views.empty())
-            newcomer.follow(members_of(heard.m_views));
+            newcomer.set_members(members_of(heard.m_views));
     });
-    newcomer.seek({"127.0.0.1:" + std::to_string(port)});
+    newcomer.connect_seeds({"127.0.0.1:" + std::to_string(port)});
     REQUIRE(run_until(fleet.m_io, [&] { return newcomer.connected("vm-9"); }));
     CHECK(heard.m_config == "three");
     const auto ask = [&] {
         const auto answer = run_task(
-            fleet.m_io, newcomer.ask("vm-9", 5, fetch_message{"a"},
-                                     fleet.m_time.now() + usual_patience));
+            fleet.m_io, newcomer.request("vm-9", 5, fetch_message{"a"},
+                                         fleet.m_time.now() + usual_patience));
         REQUIRE(answer.has_value());
         REQUIRE(answer->has_value());
         return (*answer)->m_status;
--- a/test/fleet/test_workspace_limits.cpp
+++ b/test/fleet/test_workspace_limits.cpp
@@ -14,7 +14,7 @@
 constexpr const char* keyed_config =
     R"({"version":1,"routes":[],"services":[],"tenants":[
         {"name":"a","api_keys":["k"],"rate_per_s":40,"burst":40}]})";
-constexpr quota_question one_request{7, {40, 40}, 1, 0, false, false};
+constexpr quota_request one_request{7, {40, 40}, 1, 0, false, false};
 /// Short, so that a takeover is waited for in the test.
 constexpr std::uint32_t short_revoke_ms = 2500;
 
@@ -33,7 +33,7 @@
         m_store.put("op/config", keyed_config);
         for (const char* name : {"vm-0", "vm-1", "vm-2"})
             add(name);
-        m_freshness.want(true);
+        m_freshness.set_enabled(true);
     }
 
     [[nodiscard]] std::vector<std::string> watching() const
@@ -57,19 +57,20 @@
                 next = m_time.now() + tick;
                 for (const auto& [name, vm] : m_vms)
                     vm->m_node->tick();
-                m_quota.follow(members_of(m_state.m_views));
+                m_quota.set_members(members_of(m_state.m_views));
             }
             return done();
         });
     }
     [[nodiscard]] bool fresher_than(milliseconds age) const
     {
-        return age_of(m_freshness.freshness().m_config_at, m_time.now()) < age;
+        return age_of(m_freshness.freshness().m_config_confirmed_at,
+                      m_time.now()) < age;
     }
     quota_grant take()
     {
         std::optional<quota_grant> out;
-        asio::co_spawn(m_io, m_quota.take(one_request),
+        asio::co_spawn(m_io, m_quota.acquire(one_request),
                        [&](const std::exception_ptr&, const quota_grant& got) {
                            out = got;
                        });
@@ -96,7 +97,7 @@
     }
 
     quota_client m_quota;
-    freshness_keeper m_freshness;
+    freshness_poller m_freshness;
 };
 
 } // namespace
@@ -109,16 +110,17 @@
     REQUIRE(fleet.run([&] { return fleet.fresher_than(fresh); }));
     // Without the store nobody gets younger.
     fleet.m_store.set_down(true);
-    const auto before = fleet.m_freshness.freshness().m_config_at;
+    const auto before = fleet.m_freshness.freshness().m_config_confirmed_at;
     REQUIRE(fleet.run([&] { return !fleet.fresher_than(fresh); }));
-    CHECK(fleet.m_freshness.freshness().m_config_at - before <
+    CHECK(fleet.m_freshness.freshness().m_config_confirmed_at - before <
           milliseconds(1200));
     fleet.m_store.set_down(false);
     REQUIRE(fleet.run([&] { return fleet.fresher_than(fresh); }));
     fleet.restart_all();
     const auto restarted = fleet.m_time.now();
-    CHECK(fleet.run(
-        [&] { return fleet.m_freshness.freshness().m_config_at > restarted; }));
+    CHECK(fleet.run([&] {
+        return fleet.m_freshness.freshness().m_config_confirmed_at > restarted;
+    }));
 }
 
 TEST_CASE("a limit over three owners, and one that is lost", "[fleet][tenancy]")
@@ -134,13 +136,13 @@
     for (; last.m_outcome == quota_outcome::granted; last = fleet.take())
         ++granted;
     CHECK(last.m_outcome == quota_outcome::over_limit);
-    CHECK(last.m_retry > milliseconds(0));
+    CHECK(last.m_retry_after > milliseconds(0));
     // Owners that have just begun count the most that may have been granted
     // before them; room comes by quarter seconds.
     const auto took = to_seconds(fleet.m_time.now() - begun);
-    const double most = most_in_window({40, 40}, 1, {});
+    const double most = max_in_window({40, 40}, 1, {});
     CHECK(granted <= std::min(most, most - 40 * 5 + 40 * (took + 0.5)));
-    CHECK(granted >= 40 / 4 - static_cast<int>(owners_wanted));
+    CHECK(granted >= 40 / 4 - static_cast<int>(target_owner_count));
     // What one owner does not count, the others do.
     fleet.lose("vm-1");
     const auto pause = fleet.m_time.now() + milliseconds(400);
--- a/test/forward/test_engine_gate.cpp
+++ b/test/forward/test_engine_gate.cpp
@@ -19,22 +19,22 @@
         CHECK(enter(call_rank::first, milliseconds(0)));
         CHECK(enter(call_rank::first, milliseconds(0)));
         for (int i = 0; i < 20; ++i)
-            m_gate.note_call("r", milliseconds(20), milliseconds(100));
+            m_gate.record_call("r", milliseconds(20), milliseconds(100));
         for (int i = 0; i < 50; ++i)
-            m_gate.note_call("r", milliseconds(900), milliseconds(100));
+            m_gate.record_call("r", milliseconds(900), milliseconds(100));
         REQUIRE(m_gate.limit() == 2.0);
     }
     bool enter(call_rank rank, milliseconds patience)
     {
-        const auto result = run_task(m_io, m_gate.enter(rank, patience));
+        const auto result = run_task(m_io, m_gate.acquire(rank, patience));
         return result.has_value() && result->m_admitted;
     }
     void wait_in_line(call_rank rank, char name)
     {
         spawn(m_io, "wait",
               [](full_gate& self, call_rank its_rank, char its_name) -> task<> {
-                  const auto result =
-                      co_await self.m_gate.enter(its_rank, milliseconds(4000));
+                  const auto result = co_await self.m_gate.acquire(
+                      its_rank, milliseconds(4000));
                   self.m_order += result.m_admitted ? its_name : '-';
               }(*this, rank, name));
         run_until(
@@ -47,7 +47,7 @@
 
     asio::io_context m_io{1};
     system_clock m_time;
-    engine_gate m_gate;
+    admission_queue m_gate;
     std::string m_order;
 };
 
@@ -57,11 +57,11 @@
 {
     asio::io_context io{1};
     system_clock time;
-    engine_gate gate(io, time);
+    admission_queue gate(io, time);
     for (int i = 0; i < 100; ++i)
     {
         const auto result =
-            run_task(io, gate.enter(call_rank::late, milliseconds(0)));
+            run_task(io, gate.acquire(call_rank::late, milliseconds(0)));
         CHECK((result.has_value() && result->m_admitted));
     }
     CHECK(gate.waiting() == 0);
@@ -77,7 +77,7 @@
     REQUIRE(gate.m_gate.waiting() == 4);
     for (std::size_t served = 1; served <= 4; ++served)
     {
-        gate.m_gate.leave();
+        gate.m_gate.release();
         CHECK(run_until(gate.m_io,
                         [&] { return gate.m_order.size() == served; }));
     }
@@ -98,14 +98,14 @@
     {
         const auto until = gate.m_time.now() + milliseconds(60);
         run_until(gate.m_io, [&] { return gate.m_time.now() >= until; });
-        gate.m_gate.leave();
+        gate.m_gate.release();
         CHECK(run_until(gate.m_io,
                         [&] { return gate.m_order.size() == served; }));
     }
     const auto result = run_task(
-        gate.m_io, gate.m_gate.enter(call_rank::first, milliseconds(100)));
+        gate.m_io, gate.m_gate.acquire(call_rank::first, milliseconds(100)));
     REQUIRE(result.has_value());
     CHECK_FALSE(result->m_admitted);
-    CHECK(result->m_expected > milliseconds(100));
+    CHECK(result->m_expected_wait > milliseconds(100));
     CHECK(gate.m_gate.waiting() == 4);
 }
--- a/test/forward/test_event_reader.cpp
+++ b/test/forward/test_event_reader.cpp
@@ -34,9 +34,9 @@
     }));
     INFO(each.m_bytes);
     event_reader reader(true);
-    reader.take(each.m_bytes);
-    CHECK(reader.whole_events() == each.m_whole);
-    CHECK(reader.begun_events() == each.m_begun);
+    reader.consume(each.m_bytes);
+    CHECK(reader.complete_events() == each.m_whole);
+    CHECK(reader.started_events() == each.m_begun);
     CHECK(reader.data() == each.m_data);
 }
 
@@ -44,11 +44,11 @@
 {
     CHECK(rc::check("cuts", [](const std::string& bytes) {
         event_reader whole(true);
-        whole.take(bytes);
+        whole.consume(bytes);
         event_reader pieces(true);
         for (const char c : bytes)
-            pieces.take(std::string_view(&c, 1));
+            pieces.consume(std::string_view(&c, 1));
         RC_ASSERT(whole.data() == pieces.data());
-        RC_ASSERT(whole.whole_events() == pieces.whole_events());
+        RC_ASSERT(whole.complete_events() == pieces.complete_events());
     }));
 }
--- a/test/forward/test_request_head.cpp
+++ b/test/forward/test_request_head.cpp
@@ -129,7 +129,7 @@
                            "Pepperturn-Token-Count: many\r\n\r\n");
     request_fields nothing;
     nothing.m_host = "h";
-    nothing.m_fault = "the token budget is no number";
+    nothing.m_error = "the token budget is no number";
     CHECK(decode_fields(bad, names) == nothing);
 }
 
--- a/test/forward/test_runner_table.cpp
+++ b/test/forward/test_runner_table.cpp
@@ -15,7 +15,7 @@
     return {id, "svc", "127.0.0.1:1", zone, 4, draining};
 }
 
-std::string chosen(const runner_table& table, const runner_choice& choice,
+std::string chosen(const runner_table& table, const runner_query& choice,
                    instant now = {})
 {
     const auto* row = table.choose(choice, now);
@@ -29,12 +29,12 @@
     runner_table table;
     table.replace({runner("near", "z1"), runner("far", "z2"),
                    runner("leaves", "z1", true)});
-    runner_choice choice{"svc", "", "z1", {}, 1, {}};
+    runner_query choice{"svc", "", "z1", {}, 1, {}};
     CHECK(chosen(table, choice) == "near");
     // One request there, and the other zone is better.
-    table.note_sent("near");
+    table.record_request_start("near");
     CHECK(chosen(table, choice) == "far");
-    choice.m_preferred = "near";
+    choice.m_preferred_incarnation = "near";
     CHECK(chosen(table, choice) == "near");
     choice.m_excluded = {"near"};
     CHECK(chosen(table, choice) == "far");
@@ -56,11 +56,11 @@
         {{1, "kept"}, {5, "kept"}, {8, "other"}, {80, "other"}}));
     runner_table table;
     table.replace({runner("kept", "z1"), runner("other", "z1")});
-    runner_choice choice{"svc", "", "z1", {}, 1, {}};
+    runner_query choice{"svc", "", "z1", {}, 1, {}};
     choice.m_connected = [](const std::string& id) { return id == "kept"; };
     for (int i = 0; i < 10; ++i)
-        table.note_first_byte("kept", "route", milliseconds(1));
-    table.note_first_byte("kept", "route", milliseconds(each.m_late_ms));
+        table.record_first_byte("kept", "route", milliseconds(1));
+    table.record_first_byte("kept", "route", milliseconds(each.m_late_ms));
     CHECK(chosen(table, choice) == each.m_chosen);
 }
 
@@ -68,15 +68,15 @@
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z2")});
-    const runner_choice choice{"svc", "", "z1", {}, 1, {}};
+    const runner_query choice{"svc", "", "z1", {}, 1, {}};
     const instant now{};
-    table.note_failure("a", now);
+    table.record_failure("a", now);
     CHECK(chosen(table, choice, now) == "b");
     CHECK(chosen(table, choice, now + milliseconds(301)) == "a");
-    table.note_failure("a", now);
+    table.record_failure("a", now);
     CHECK(chosen(table, choice, now + milliseconds(301)) == "b");
     // With nobody else there, it is better than nothing.
-    runner_choice only = choice;
+    runner_query only = choice;
     only.m_excluded = {"b"};
     CHECK(chosen(table, only, now) == "a");
 }
@@ -86,18 +86,18 @@
 {
     runner_table table;
     table.replace({runner("grey", "z1"), runner("b", "z2")});
-    const runner_choice choice{"svc", "", "z1", {}, 1, {}};
+    const runner_query choice{"svc", "", "z1", {}, 1, {}};
     const instant now{};
     CHECK(chosen(table, choice, now) == "grey");
     // Two errors in five answers.
     for (const bool good : {true, false, true, true, false})
-        table.note_result("grey", good, now);
+        table.record_result("grey", good, now);
     CHECK(chosen(table, choice, now) == "b");
     // It gets another chance.
     CHECK(chosen(table, choice, now + milliseconds(20000)) == "grey");
     // One error in fifty changes nothing.
     for (int i = 0; i < 50; ++i)
-        table.note_result("b", i != 0, now);
+        table.record_result("b", i != 0, now);
     CHECK(chosen(table, choice, now) == "b");
 }
 
@@ -108,19 +108,20 @@
                    runner("unused", "z1")});
     // The work of two routes differs by four times, whoever does it.
     const auto connected = [](const std::string& id) { return id != "unused"; };
-    runner_choice choice{"svc", "", "z1", {}, 1, connected};
+    runner_query choice{"svc", "", "z1", {}, 1, connected};
     for (int i = 0; i < 60; ++i)
     {
         const std::string id = i % 3 == 0 ? "a" : i % 3 == 1 ? "b" : "slow";
         const bool long_work = i % 2 == 0;
         const int times = id == "slow" ? 5 : 1;
-        table.note_first_byte(id, long_work ? "long" : "short",
-                              milliseconds((long_work ? 320 : 80) * times));
+        table.record_first_byte(id, long_work ? "long" : "short",
+                                milliseconds((long_work ? 320 : 80) * times));
     }
     CHECK(table.find("a")->m_slowness < 1.4);
     CHECK(table.find("b")->m_slowness < 1.4);
     CHECK(table.find("slow")->m_slowness > 1.8);
-    for (choice.m_draw = 1; choice.m_draw < 20; ++choice.m_draw)
+    for (choice.m_random_tiebreak = 1; choice.m_random_tiebreak < 20;
+         ++choice.m_random_tiebreak)
     {
         // No connection is opened to an unused one for the sake of chance.
         const auto id = chosen(table, choice);
@@ -134,13 +135,13 @@
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z1")});
-    table.note_sent("a");
+    table.record_request_start("a");
     table.replace({runner("a", "z1"), runner("c", "z1")});
     CHECK(table.find("a")->m_in_flight == 1);
     CHECK(table.find("b") == nullptr);
     CHECK(table.size() == 2);
-    table.note_ended("a");
-    table.note_ended("a");
+    table.record_request_end("a");
+    table.record_request_end("a");
     CHECK(table.find("a")->m_in_flight == 0);
 }
 
@@ -185,17 +186,17 @@
     CHECK(table.replace({info}).empty());
     const auto before = table.find("r1")->m_incarnation;
     const instant now = instant{} + milliseconds(1000);
-    table.note_sent("r1");
-    table.note_failure("r1", now);
-    table.note_result("r1", false, now);
+    table.record_request_start("r1");
+    table.record_failure("r1", now);
+    table.record_result("r1", false, now);
     CHECK(table.replace({info}).empty());
-    CHECK(table.find("r1")->m_failures == 1);
-    info.m_born = 2000;
+    CHECK(table.find("r1")->m_consecutive_failures == 1);
+    info.m_started_at_ms = 2000;
     CHECK(table.replace({info}) == std::vector<std::string>{"r1"});
     const auto* row = table.find("r1");
-    CHECK(row->m_failures == 0);
+    CHECK(row->m_consecutive_failures == 0);
     CHECK(row->m_in_flight == 0);
-    CHECK(row->m_trouble == 0);
+    CHECK(row->m_error_rate == 0);
     // What the life before had read is gone.
     CHECK(table.find_incarnation(before) == nullptr);
     CHECK(table.find_incarnation(row->m_incarnation) == row);
@@ -205,8 +206,8 @@
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z2")});
-    runner_choice choice{"svc", "", "z1", {}, 1, {}};
-    choice.m_preferred = "a";
+    runner_query choice{"svc", "", "z1", {}, 1, {}};
+    choice.m_preferred_incarnation = "a";
     CHECK(chosen(table, choice) == "a");
     table.evacuate({"z1", "nowhere"});
     CHECK(chosen(table, choice) == "b");
@@ -222,18 +223,18 @@
     const instant now = instant{} + milliseconds(10000);
     runner_table table;
     auto cold = runner("cold", "z1");
-    cold.m_cold_left = milliseconds(3000);
+    cold.m_cold_remaining = milliseconds(3000);
     (void)table.replace({cold, runner("warm", "z1")}, now);
-    runner_choice choice{"svc", "", "z1", {}, 1, {}};
+    runner_query choice{"svc", "", "z1", {}, 1, {}};
     CHECK(chosen(table, choice, now) == "warm");
     for (int i = 0; i < 3; ++i)
-        table.note_sent("warm");
+        table.record_request_start("warm");
     CHECK(chosen(table, choice, now) == "cold");
     choice.m_warm_only = true;
     CHECK(chosen(table, choice, now) == "warm");
     CHECK(chosen(table, choice, now + milliseconds(3000)) == "cold");
     // It turns cold again under the same id.
-    cold.m_cold_left = milliseconds(500);
+    cold.m_cold_remaining = milliseconds(500);
     (void)table.update({{"cold", cold}}, now + milliseconds(4000));
     CHECK(chosen(table, choice, now + milliseconds(4400)) == "warm");
 }
@@ -250,17 +251,17 @@
     runner_table table(7);
     (void)table.replace(runners);
     std::size_t weighed = 0;
-    runner_choice choice{"svc", "", "z1", {}, 1, {}};
-    choice.m_shared_part = 99;
+    runner_query choice{"svc", "", "z1", {}, 1, {}};
+    choice.m_shared_prefix = 99;
     const auto* row = table.choose(choice, {}, &weighed);
     REQUIRE(row != nullptr);
     CHECK(row->m_info.m_availability_zone == "z1");
-    CHECK(weighed <= most_candidates + runners_for_part + 1);
+    CHECK(weighed <= max_candidates + runners_per_prefix + 1);
     // The zone is emptied: another one's are looked at as well.
     table.evacuate({"z1"});
     row = table.choose(choice, {}, &weighed);
     REQUIRE(row != nullptr);
-    CHECK(weighed <= 3 * (most_candidates + runners_for_part + 1));
+    CHECK(weighed <= 3 * (max_candidates + runners_per_prefix + 1));
 }
 
 TEST_CASE("all VMs together use all of many runners", "[runner_table]")
@@ -278,7 +279,7 @@
             runner_table table(own_seeds ? vm * 7919 : 0);
             (void)table.replace(runners);
             // The first call of each VM.
-            const runner_choice choice{
+            const runner_query choice{
                 "svc", "", "z1", {}, own_seeds ? vm * 7919 : 1, {}};
             ++calls[chosen(table, choice)];
         }
@@ -304,14 +305,14 @@
     {
         runner_table table(vm * 7919);
         (void)table.replace(runners);
-        runner_choice choice{"svc", "", "z1", {}, vm * 7919, {}};
-        choice.m_shared_part = 99;
+        runner_query choice{"svc", "", "z1", {}, vm * 7919, {}};
+        choice.m_shared_prefix = 99;
         ++calls[chosen(table, choice)];
         // A VM that has a call there takes another one that has read it.
-        table.note_sent(chosen(table, choice));
+        table.record_request_start(chosen(table, choice));
         ++calls[chosen(table, choice)];
     }
-    CHECK(calls.size() <= runners_for_part);
+    CHECK(calls.size() <= runners_per_prefix);
 }
 
 TEST_CASE("runners of other regions, and those that a request may not go to",
@@ -322,13 +323,13 @@
     REQUIRE(parse_zone_map("n-a=north,n-b=north,s-a=south", zones).empty());
     table.set_zones(zones);
     (void)table.replace({runner("near", "n-b"), runner("far", "s-a")});
-    runner_choice choice{"svc", "", "n-a", {}, 1, {}};
+    runner_query choice{"svc", "", "n-a", {}, 1, {}};
     CHECK(chosen(table, choice) == "near");
     // A call there is better than the way, all slots taken are not.
-    table.note_sent("near");
+    table.record_request_start("near");
     CHECK(chosen(table, choice) == "near");
     for (int i = 0; i < 3; ++i)
-        table.note_sent("near");
+        table.record_request_start("near");
     CHECK(chosen(table, choice) == "far");
     choice.m_regions = std::set<std::string>{"north"};
     CHECK(chosen(table, choice) == "near");
@@ -342,14 +343,14 @@
 {
     route where;
     workspace owner;
-    CHECK_FALSE(home_regions(where, nullptr));
-    CHECK_FALSE(home_regions(where, &owner));
+    CHECK_FALSE(allowed_regions(where, nullptr));
+    CHECK_FALSE(allowed_regions(where, &owner));
     where.m_regions = {"a", "b"};
-    CHECK(home_regions(where, &owner) == where.m_regions);
+    CHECK(allowed_regions(where, &owner) == where.m_regions);
     owner.m_regions = {"b", "c"};
-    CHECK(home_regions(where, &owner) == std::set<std::string>{"b"});
-    CHECK(home_regions(where, nullptr) == where.m_regions);
+    CHECK(allowed_regions(where, &owner) == std::set<std::string>{"b"});
+    CHECK(allowed_regions(where, nullptr) == where.m_regions);
     owner.m_regions = {"c"};
-    CHECK(home_regions(where, &owner) == std::set<std::string>{});
-    CHECK(home_regions(route{}, &owner) == owner.m_regions);
+    CHECK(allowed_regions(where, &owner) == std::set<std::string>{});
+    CHECK(allowed_regions(route{}, &owner) == owner.m_regions);
 }
--- a/test/platform/test_cluster_source.cpp
+++ b/test/platform/test_cluster_source.cpp
@@ -137,10 +137,11 @@
     CHECK(world.m_source.freshness().m_freshness == freshness_bound{});
     world.m_source.keep_fresh({true, {}, {}});
     REQUIRE(run_until(world.m_io, [&] {
-        return world.m_source.freshness().m_freshness.m_views_at != instant{};
+        return world.m_source.freshness().m_freshness.m_views_confirmed_at !=
+               instant{};
     }));
     const auto first = world.m_source.freshness();
-    CHECK(first.m_freshness.m_config_at <= world.m_time.now());
+    CHECK(first.m_freshness.m_config_confirmed_at <= world.m_time.now());
     // While the store is away nothing refreshes it.
     world.m_store.set_down(true);
     run_until(
@@ -152,8 +153,8 @@
         return world.m_source.freshness().m_config_revision >
                first.m_config_revision;
     }));
-    CHECK(world.m_source.freshness().m_freshness.m_config_at >
-          first.m_freshness.m_config_at + milliseconds(1400));
+    CHECK(world.m_source.freshness().m_freshness.m_config_confirmed_at >
+          first.m_freshness.m_config_confirmed_at + milliseconds(1400));
 }
 
 TEST_CASE("a fresh answer that others have spares the question",
@@ -170,9 +171,10 @@
     CHECK(world.m_source.freshness().m_freshness == freshness_bound{});
     // Nobody has asked for a while: this one does.
     REQUIRE(run_until(world.m_io, [&] {
-        return world.m_source.freshness().m_freshness.m_config_at != instant{};
+        return world.m_source.freshness().m_freshness.m_config_confirmed_at !=
+               instant{};
     }));
-    CHECK(world.m_source.freshness().m_freshness.m_config_at >=
+    CHECK(world.m_source.freshness().m_freshness.m_config_confirmed_at >=
           heard + milliseconds(600) + stagger);
 }
 
--- a/test/platform/test_decode.cpp
+++ b/test/platform/test_decode.cpp
@@ -80,7 +80,7 @@
         reason);
     REQUIRE(leaving.has_value());
     CHECK(leaving->m_draining);
-    CHECK(leaving->m_born == 1790000000000);
+    CHECK(leaving->m_started_at_ms == 1790000000000);
     CHECK(incarnation_of(*leaving) == "i-1@1790000000000");
     CHECK(incarnation_of(*ready) == "i-1");
     CHECK(runner_age_of(R"({"seq":12})") == runner_age{0, 12});
@@ -279,5 +279,5 @@
             R"("slots":4,"state":"ready","seq":1)" + each.m_told + "}",
         reason);
     REQUIRE(info);
-    CHECK(info->m_cold_left == milliseconds(each.m_ms));
+    CHECK(info->m_cold_remaining == milliseconds(each.m_ms));
 }
--- a/test/scheduling/model_engine.cpp
+++ b/test/scheduling/model_engine.cpp
@@ -18,9 +18,9 @@
     return static_cast<double>(random() >> 11) * 0x1p-53;
 }
 
-model_engine::model_engine(const engine_shape& shape, double speed,
+model_engine::model_engine(const engine_model_config& shape, double speed,
                            std::uint64_t seed)
-    : m_shape(shape), m_speed(speed), m_random(seed)
+    : m_config(shape), m_speed(speed), m_random(seed)
 {
     m_noisy = draw(m_random) >= shape.m_noise_share;
 }
@@ -30,7 +30,7 @@
     m_queue.push_back(std::move(work));
 }
 
-void model_engine::drop(const std::function<bool(std::uint64_t)>& is_gone)
+void model_engine::cancel(const std::function<bool(std::uint64_t)>& is_gone)
 {
     std::erase_if(m_running, [&is_gone](const running& run) {
         return is_gone(run.m_call);
@@ -42,58 +42,59 @@
 
 void model_engine::change_noise(int now)
 {
-    if (m_shape.m_noise_share <= 0 || now < m_noise_until)
+    if (m_config.m_noise_share <= 0 || now < m_noise_until)
         return;
     m_noisy = !m_noisy;
-    const double quiet = (1 - m_shape.m_noise_share) / m_shape.m_noise_share;
-    const double mean = m_shape.m_noise_ms * (m_noisy ? 1 : quiet);
+    const double quiet = (1 - m_config.m_noise_share) / m_config.m_noise_share;
+    const double mean = m_config.m_noise_ms * (m_noisy ? 1 : quiet);
     m_noise_until =
         now + 1 + static_cast<int>(-mean * std::log(1 - draw(m_random)));
 }
 
-double model_engine::read_memory(const std::vector<prompt_part>& parts)
+double model_engine::update_cache(const std::vector<prompt_part>& parts)
 {
     double fresh = 0;
     bool held = true;
     for (const auto& part : parts)
     {
-        const auto row = std::find_if(m_memory.begin(), m_memory.end(),
+        const auto row = std::find_if(m_cache.begin(), m_cache.end(),
                                       [&part](const prompt_part& each) {
                                           return each.m_id == part.m_id;
                                       });
-        const double has = held && row != m_memory.end() ? row->m_tokens : 0;
+        const double has = held && row != m_cache.end() ? row->m_tokens : 0;
         fresh += std::max(part.m_tokens - has, 0.0);
         if (has == 0 && part.m_tokens >= long_part_tokens)
-            m_long_parts_read += part.m_tokens;
+            m_long_part_tokens_prefilled += part.m_tokens;
         held = held && has >= part.m_tokens;
-        if (row != m_memory.end())
-            m_memory.erase(row);
+        if (row != m_cache.end())
+            m_cache.erase(row);
     }
-    m_memory.insert(m_memory.end(), parts.rbegin(), parts.rend());
+    m_cache.insert(m_cache.end(), parts.rbegin(), parts.rend());
     std::uint64_t sum = 0;
-    for (const auto& part : m_memory)
+    for (const auto& part : m_cache)
         sum += part.m_tokens;
-    while (sum > m_shape.m_token_capacity)
+    while (sum > m_config.m_token_capacity)
     {
-        sum -= m_memory.front().m_tokens;
-        m_memory.erase(m_memory.begin());
+        sum -= m_cache.front().m_tokens;
+        m_cache.erase(m_cache.begin());
     }
     return fresh;
 }
 
 void model_engine::fill_slots()
 {
-    while (!m_queue.empty() && m_running.size() < m_shape.m_slots)
+    while (!m_queue.empty() && m_running.size() < m_config.m_slots)
     {
         const auto work = std::move(m_queue.front());
         m_queue.pop_front();
         double context = 0;
         for (const auto& part : work.m_parts)
             context += part.m_tokens;
-        m_running.push_back({.m_call = work.m_call,
-                             .m_read_left = read_memory(work.m_parts),
-                             .m_tokens_left = 1.0 * work.m_tokens,
-                             .m_context = context});
+        m_running.push_back(
+            {.m_call = work.m_call,
+             .m_prefill_tokens_left = update_cache(work.m_parts),
+             .m_output_tokens_left = 1.0 * work.m_tokens,
+             .m_context = context});
     }
 }
 
@@ -104,33 +105,35 @@
     std::vector<engine_end> ended;
     if (m_running.empty())
         return ended;
-    const bool noisy = m_noisy && m_shape.m_noise_share > 0;
-    double left_ms = m_speed / m_fault / (noisy ? m_shape.m_noise_factor : 1);
+    const bool noisy = m_noisy && m_config.m_noise_share > 0;
+    double left_ms =
+        m_speed / m_slowdown / (noisy ? m_config.m_noise_factor : 1);
     double context = 0;
     for (auto& run : m_running)
     {
         const double read =
-            std::min(run.m_read_left, left_ms * m_shape.m_read_per_ms);
-        run.m_read_left -= read;
-        left_ms -= read / m_shape.m_read_per_ms;
+            std::min(run.m_prefill_tokens_left,
+                     left_ms * m_config.m_prefill_tokens_per_ms);
+        run.m_prefill_tokens_left -= read;
+        left_ms -= read / m_config.m_prefill_tokens_per_ms;
         context += run.m_context;
     }
     const auto beside = static_cast<double>(m_running.size() - 1);
-    const double tokens = std::max(left_ms, 0.0) / m_shape.m_token_ms /
-                          (1 + m_shape.m_batch_token_share * context +
-                           m_shape.m_beside_share * beside);
+    const double tokens = std::max(left_ms, 0.0) / m_config.m_token_ms /
+                          (1 + m_config.m_batch_token_share * context +
+                           m_config.m_concurrency_share * beside);
     for (auto& run : m_running)
     {
-        if (run.m_read_left > 0)
+        if (run.m_prefill_tokens_left > 0)
             continue;
         if (run.m_first_byte_at < 0)
             run.m_first_byte_at = now;
-        run.m_tokens_left -= tokens;
-        if (run.m_tokens_left <= 0)
+        run.m_output_tokens_left -= tokens;
+        if (run.m_output_tokens_left <= 0)
             ended.push_back({run.m_call, run.m_first_byte_at});
     }
     std::erase_if(m_running, [](const running& run) {
-        return run.m_read_left <= 0 && run.m_tokens_left <= 0;
+        return run.m_prefill_tokens_left <= 0 && run.m_output_tokens_left <= 0;
     });
     return ended;
 }
--- a/test/scheduling/model_engine.hpp
+++ b/test/scheduling/model_engine.hpp
@@ -16,17 +16,17 @@
 
 namespace pepperturn::test {
 
-struct engine_shape
+struct engine_model_config
 {
     std::uint32_t m_slots = 12;
     /// What fits, and what it tells.
     std::uint64_t m_token_capacity = 290'745;
-    std::uint64_t m_told_capacity = 290'745;
+    std::uint64_t m_reported_capacity = 290'745;
     double m_token_ms = 1.06;
-    double m_read_per_ms = 257;
+    double m_prefill_tokens_per_ms = 257;
     /// Share by which each token in the batch, and each run beside, slows it.
     double m_batch_token_share = 0.33 / (12 * 15'000);
-    double m_beside_share = 0;
+    double m_concurrency_share = 0;
     /// Share of the time in which an engine is slower, how much, how long.
     double m_noise_share = 0.15;
     double m_noise_factor = 2.5;
@@ -54,16 +54,17 @@
 {
 public:
     /// \param speed as a factor
-    model_engine(const engine_shape& shape, double speed, std::uint64_t seed);
+    model_engine(const engine_model_config& shape, double speed,
+                 std::uint64_t seed);
 
     /// Factor by which it is slower; a very large one: it hangs.
-    void slow(double factor)
+    void set_slowdown(double factor)
     {
-        m_fault = factor;
+        m_slowdown = factor;
     }
     void add(engine_work work);
     /// Calls that are gone at their caller leave.
-    void drop(const std::function<bool(std::uint64_t)>& is_gone);
+    void cancel(const std::function<bool(std::uint64_t)>& is_gone);
     /// Works for one millisecond.
     [[nodiscard]] std::vector<engine_end> run(int now);
 
@@ -72,36 +73,36 @@
         return m_running.size() + m_queue.size();
     }
     /// Tokens of parts of at least so many that it has read.
-    [[nodiscard]] std::uint64_t long_parts_read() const
+    [[nodiscard]] std::uint64_t long_part_tokens_prefilled() const
     {
-        return m_long_parts_read;
+        return m_long_part_tokens_prefilled;
     }
 
 private:
     struct running
     {
         std::uint64_t m_call = 0;
-        double m_read_left = 0;
-        double m_tokens_left = 0;
+        double m_prefill_tokens_left = 0;
+        double m_output_tokens_left = 0;
         double m_context = 0;
         int m_first_byte_at = -1;
     };
 
     void change_noise(int now);
-    [[nodiscard]] double read_memory(const std::vector<prompt_part>& parts);
+    [[nodiscard]] double update_cache(const std::vector<prompt_part>& parts);
     void fill_slots();
 
-    engine_shape m_shape;
+    engine_model_config m_config;
     double m_speed = 1;
-    double m_fault = 1;
+    double m_slowdown = 1;
     std::mt19937_64 m_random;
     bool m_noisy = false;
     int m_noise_until = 0;
     std::vector<running> m_running;
     std::deque<engine_work> m_queue;
     /// The last used one stands at the end.
-    std::vector<prompt_part> m_memory;
-    std::uint64_t m_long_parts_read = 0;
+    std::vector<prompt_part> m_cache;
+    std::uint64_t m_long_part_tokens_prefilled = 0;
 };
 
 } // namespace pepperturn::test
--- a/test/scheduling/place_messages.hpp
+++ b/test/scheduling/place_messages.hpp
@@ -14,10 +14,10 @@
 inline constexpr std::uint32_t shared_tokens = 12'600;
 inline constexpr instant start{seconds(1000)};
 
-inline std::vector<engine_facts> make_engines(std::size_t count,
-                                              std::uint32_t slots)
+inline std::vector<engine_info> make_engines(std::size_t count,
+                                             std::uint32_t slots)
 {
-    std::vector<engine_facts> engines;
+    std::vector<engine_info> engines;
     for (std::size_t i = 1; i <= count; ++i)
         engines.push_back({.m_runner = i,
                            .m_availability_zone = "a",
@@ -26,45 +26,48 @@
     return engines;
 }
 
-inline place_question make_question(std::uint64_t call,
-                                    std::uint64_t shared = 1)
+inline placement_request make_request(std::uint64_t call,
+                                      std::uint64_t shared = 1)
 {
     return {.m_service = service,
             .m_call = call,
             .m_parts = {{shared, shared_tokens}, {1000 + call, 1000}},
             .m_prompt_tokens = shared_tokens + 1000,
-            .m_most_tokens = 248,
+            .m_max_output_tokens = 248,
             .m_rank = call_rank::first,
-            .m_patience_ms = 1000,
-            .m_program_left_ms = 0,
+            .m_queue_timeout_ms = 1000,
+            .m_program_time_left_ms = 0,
             .m_availability_zone = "a",
             .m_excluded = {}};
 }
 
-inline place_report make_report(std::uint64_t call, std::uint32_t run_ms = 100)
+inline placement_report make_report(std::uint64_t call,
+                                    std::uint32_t run_ms = 100)
 {
     return {.m_service = service,
             .m_call = call,
-            .m_end = place_end::whole,
+            .m_end = placement_end::whole,
             .m_first_byte_ms = 10,
             .m_run_ms = run_ms,
-            .m_tokens = 100};
+            .m_output_tokens = 100};
 }
 
-inline place_answer ask(engine_places& places, const place_question& question,
-                        instant now = start)
+inline placement_reply request_placement(engine_placements& places,
+                                         const placement_request& question,
+                                         instant now = start)
 {
-    return places.ask(question, now).value_or(place_answer{});
+    return places.request_placement(question, now).value_or(placement_reply{});
 }
 
-inline std::string metrics(const engine_places& places)
+inline std::string metrics(const engine_placements& places)
 {
     std::string out;
     places.write_metrics(out);
     return out;
 }
 
-inline bool shows(const engine_places& places, const std::string& line)
+inline bool has_metric_line(const engine_placements& places,
+                            const std::string& line)
 {
     return metrics(places).find(line + '\n') != std::string::npos;
 }
--- a/test/scheduling/place_site.hpp
+++ b/test/scheduling/place_site.hpp
@@ -17,7 +17,7 @@
 namespace pepperturn::test {
 
 /// Hash of the service that all calls are of.
-constexpr std::uint64_t site_service = 1;
+constexpr std::uint64_t simulated_service = 1;
 
 /// A kind of program.
 struct program_kind
@@ -27,10 +27,10 @@
     std::uint32_t m_own_tokens = 0;
 };
 
-struct site_shape
+struct simulation_config
 {
     std::uint32_t m_engines = 48;
-    engine_shape m_engine;
+    engine_model_config m_engine;
     /// One engine in this many is slow; 0: all are alike.
     std::uint32_t m_one_slow_in = 4;
     double m_slow_speed = 0.55;
@@ -38,30 +38,31 @@
     std::vector<program_kind> m_kinds;
     std::uint32_t m_events = 8;
     /// Programs are in time within this times their time alone, and more.
-    double m_aim_factor = 1.4;
-    double m_aim_ms = 250;
+    double m_deadline_factor = 1.4;
+    double m_deadline_ms = 250;
     /// Demand by the millisecond, as a factor.
     std::function<double(int)> m_demand = [](int) { return 1.0; };
     /// Workspaces; the first asks this many times as often as each other.
     std::uint32_t m_workspaces = 1;
-    std::function<double(int)> m_first_workspace = [](int) { return 1.0; };
+    std::function<double(int)> m_first_workspace_load = [](int) { return 1.0; };
 };
 
 /// How calls are placed.
-class site_policy
+class placement_policy
 {
 public:
-    virtual ~site_policy() = default;
+    virtual ~placement_policy() = default;
     /// \param vm number of the VM that asks
-    virtual std::optional<place_answer> ask(const place_question& question,
-                                            std::uint32_t vm, instant now) = 0;
-    virtual void report(const place_report& report, std::uint32_t vm,
+    virtual std::optional<placement_reply>
+    request_placement(const placement_request& question, std::uint32_t vm,
+                      instant now) = 0;
+    virtual void report(const placement_report& report, std::uint32_t vm,
                         instant now) = 0;
-    virtual std::vector<decided_place> take_decided(instant now) = 0;
+    virtual std::vector<placement_decision> take_decisions(instant now) = 0;
 };
 
 /// What became of programs.
-struct site_result
+struct simulation_result
 {
     struct counts
     {
@@ -74,7 +75,7 @@
         /// Sum of the programs' times over their times alone.
         double m_stretch = 0;
         double m_wait_ms = 0;
-        std::uint32_t m_asks = 0;
+        std::uint32_t m_requests = 0;
 
         [[nodiscard]] counts operator+(const counts& other) const;
         [[nodiscard]] double late_share() const;
@@ -93,19 +94,19 @@
     double m_busiest = 0;
 };
 
-class place_site
+class placement_simulation
 {
 public:
-    place_site(site_shape shape, std::uint64_t seed);
+    placement_simulation(simulation_config shape, std::uint64_t seed);
 
     /// Called at each millisecond, for faults.
     std::function<void(int)> m_at = [](int) {};
     /// Factor by which an engine is slower; infinite: it hangs.
-    void slow(std::uint32_t engine, double factor);
-    [[nodiscard]] std::vector<engine_facts> facts() const;
+    void set_slowdown(std::uint32_t engine, double factor);
+    [[nodiscard]] std::vector<engine_info> engines() const;
     /// Programs that begin before \p from_ms are not counted.
-    site_result run(site_policy& policy, std::uint32_t vms, int from_ms,
-                    int until_ms);
+    simulation_result run(placement_policy& policy, std::uint32_t vms,
+                          int from_ms, int until_ms);
 
 private:
     struct program
@@ -114,18 +115,18 @@
         std::uint32_t m_turn = 0;
         std::uint64_t m_shared = 0;
         std::uint64_t m_workspace = 0;
-        int m_begun = 0;
-        double m_alone_ms = 0;
+        int m_started = 0;
+        double m_ideal_ms = 0;
         /// Draws its turns.
         std::mt19937_64 m_random;
     };
     struct turn_call
     {
-        place_question m_question;
+        placement_request m_request;
         std::uint64_t m_program = 0;
         std::uint32_t m_vm = 0;
         std::uint32_t m_tokens = 0;
-        int m_asked = 0;
+        int m_requested = 0;
         int m_sent = -1;
         std::uint32_t m_engine = 0;
     };
@@ -140,7 +141,7 @@
         step m_step = step::turn;
         /// Of the program or the call.
         std::uint64_t m_id = 0;
-        place_report m_report;
+        placement_report m_report;
         std::uint32_t m_vm = 0;
     };
 
@@ -148,15 +149,15 @@
     [[nodiscard]] instant now() const;
     void begin_programs();
     void begin_turn(std::uint64_t id);
-    void take_answer(std::uint64_t call, const place_answer& answer);
+    void apply_reply(std::uint64_t call, const placement_reply& answer);
     void take_events();
     void run_engines();
-    void end_call(std::uint64_t call, place_end end, int first_ms);
+    void end_call(std::uint64_t call, placement_end end, int first_ms);
     void end_program(std::uint64_t id, bool refused, bool waited = false);
-    void give_up_hung();
+    void time_out_hung();
     void sample();
 
-    site_shape m_shape;
+    simulation_config m_config;
     std::mt19937_64 m_random;
     std::vector<model_engine> m_engines;
     std::map<std::uint64_t, program> m_programs;
@@ -167,8 +168,8 @@
     int m_now = 0;
     int m_from = 0;
     std::uint32_t m_vms = 1;
-    site_policy* m_policy = nullptr;
-    site_result m_result;
+    placement_policy* m_policy = nullptr;
+    simulation_result m_result;
     double m_samples = 0;
 };
 
--- a/test/scheduling/test_admission.cpp
+++ b/test/scheduling/test_admission.cpp
@@ -95,9 +95,9 @@
         const waiting_call call{rank, ++m_number};
         const auto ahead = static_cast<std::size_t>(
             std::count_if(m_line.begin(), m_line.end(), [&](const auto& other) {
-                return goes_before(other.m_call, call);
+                return precedes(other.m_call, call);
             }));
-        const auto patience = wait_patience(rank, left, call_time);
+        const auto patience = queue_timeout(rank, left, call_time);
         const auto expected = expected_wait(m_drains[rank], ahead, m_now);
         if (expected > patience)
         {
@@ -106,14 +106,14 @@
         }
         m_line.push_back({call, id, m_now + patience});
         at(m_now + patience,
-           [this, number = call.m_number] { give_up(number); });
+           [this, number = call.m_sequence] { give_up(number); });
         admit();
     }
     void give_up(std::uint64_t number)
     {
         const auto found =
             std::find_if(m_line.begin(), m_line.end(), [&](const auto& row) {
-                return row.m_call.m_number == number;
+                return row.m_call.m_sequence == number;
             });
         if (found == m_line.end())
             return;
@@ -125,17 +125,17 @@
     {
         ++m_out.m_refusals;
         if (++m_programs[id].m_tries < most_tries)
-            at(m_now + come_back_after(expected, id), [this, id] { ask(id); });
+            at(m_now + retry_delay(expected, id), [this, id] { ask(id); });
     }
     void admit()
     {
         while (!m_line.empty() && m_under_way < m_limit.m_limit)
         {
-            const auto next = std::min_element(
-                m_line.begin(), m_line.end(),
-                [](const auto& left, const auto& right) {
-                    return goes_before(left.m_call, right.m_call);
-                });
+            const auto next =
+                std::min_element(m_line.begin(), m_line.end(),
+                                 [](const auto& left, const auto& right) {
+                                     return precedes(left.m_call, right.m_call);
+                                 });
             const auto chosen = *next;
             m_line.erase(next);
             auto& drain = m_drains[chosen.m_call.m_rank];
@@ -188,9 +188,9 @@
     std::uint32_t m_under_way = 0;
     std::uint64_t m_number = 0;
     std::vector<waiter> m_line;
-    std::map<call_rank, drain_rate> m_drains;
-    call_pace m_pace;
-    call_limit m_limit;
+    std::map<call_rank, admission_rate> m_drains;
+    call_latency m_pace;
+    concurrency_limit m_limit;
     outcome m_out;
 };
 
@@ -213,14 +213,14 @@
 TEST_CASE("engines with room are not limited", "[scheduling]")
 {
     CHECK(rc::check("short waits", [] {
-        call_pace pace;
-        call_limit limit;
+        call_latency pace;
+        concurrency_limit limit;
         const auto calls = *rc::gen::inRange<std::uint32_t>(0, 200);
         for (int i = 0; i < 200; ++i)
         {
             pace = add_call(pace, *rc::gen::inRange(15, 60), 250);
             limit = adjust_limit(limit, pace, calls);
-            RC_ASSERT(limit == call_limit{});
+            RC_ASSERT(limit == concurrency_limit{});
         }
     }));
 }
@@ -231,13 +231,13 @@
     struct sample
     {
         std::string m_name;
-        call_pace m_pace;
+        call_latency m_pace;
         double m_limit;
         std::uint32_t m_under_way;
         bool m_falls;
         bool m_rises;
     };
-    const double none = call_limit{}.m_limit;
+    const double none = concurrency_limit{}.m_limit;
     const auto each = GENERATE_COPY(values<sample>({
         {"a short burst sets none", {100, 20, 250}, none, 40, false, false},
         {"long waits set one", {500, 20, 250}, none, 40, true, false},
@@ -291,13 +291,13 @@
         {call_rank::late, milliseconds(0), milliseconds(4000),
          milliseconds(700)},
     }));
-    CHECK(wait_patience(each.m_rank, each.m_program_left, each.m_call_left) ==
+    CHECK(queue_timeout(each.m_rank, each.m_program_left, each.m_call_left) ==
           each.m_patience);
 }
 
 TEST_CASE("what a line is expected to take", "[scheduling]")
 {
-    drain_rate rate;
+    admission_rate rate;
     instant now{milliseconds(1000)};
     CHECK(expected_wait(rate, 100, now) == milliseconds(0));
     for (int i = 0; i < 100; ++i)
@@ -317,10 +317,9 @@
 TEST_CASE("callers come back in turns", "[scheduling]")
 {
     CHECK(rc::check("bounds", [](std::uint16_t expected, std::uint64_t draw) {
-        const auto after = come_back_after(milliseconds(expected), draw);
+        const auto after = retry_delay(milliseconds(expected), draw);
         RC_ASSERT(after >= milliseconds(250));
         RC_ASSERT(after < milliseconds(1050));
     }));
-    CHECK(come_back_after(milliseconds(0), 1) !=
-          come_back_after(milliseconds(0), 2));
+    CHECK(retry_delay(milliseconds(0), 1) != retry_delay(milliseconds(0), 2));
 }
--- a/test/scheduling/test_engine_cost.cpp
+++ b/test/scheduling/test_engine_cost.cpp
@@ -10,27 +10,27 @@
 using namespace pepperturn;
 
 /// An idle engine of 12 slots that has the prompt.
-engine_outlook make_idle()
+engine_estimate make_idle()
 {
     return {.m_under_way = 0,
             .m_slots = 12,
             .m_cached_tokens = 12'600,
-            .m_fresh_tokens = 1'000,
-            .m_tokens = 128,
-            .m_read_token_ms = 0.004,
-            .m_token_ms = 1,
-            .m_reading_ms = 0,
+            .m_uncached_tokens = 1'000,
+            .m_output_tokens = 128,
+            .m_prefill_token_ms = 0.004,
+            .m_decode_token_ms = 1,
+            .m_prefill_backlog_ms = 0,
             .m_slot_ms = 150,
-            .m_trouble = 0,
+            .m_error_rate = 0,
             .m_other_zone = false};
 }
 
-double cost(const engine_outlook& outlook)
+double cost(const engine_estimate& outlook)
 {
     return engine_cost(outlook, predict_run(outlook));
 }
 
-template <class Change> engine_outlook changed(Change change)
+template <class Change> engine_estimate changed(Change change)
 {
     auto outlook = make_idle();
     change(outlook);
@@ -44,14 +44,15 @@
     struct sample
     {
         std::string m_name;
-        engine_outlook m_less;
-        engine_outlook m_more;
+        engine_estimate m_less;
+        engine_estimate m_more;
     };
     const auto idle = make_idle();
-    const auto cold = changed([](auto& out) { out.m_fresh_tokens = 13'600; });
+    const auto cold =
+        changed([](auto& out) { out.m_uncached_tokens = 13'600; });
     const auto busy = changed([](auto& out) { out.m_under_way = 6; });
     const auto full = changed([](auto& out) { out.m_under_way = 13; });
-    const auto slow = changed([](auto& out) { out.m_token_ms = 2; });
+    const auto slow = changed([](auto& out) { out.m_decode_token_ms = 2; });
     const auto each = GENERATE_COPY(values<sample>({
         {"the idle one", idle, busy},
         {"the one with the prompt", idle, cold},
@@ -64,17 +65,17 @@
         {"a short queue before reading among many", full,
          changed([](auto& out) {
              out.m_under_way = 10;
-             out.m_fresh_tokens = 13'600;
+             out.m_uncached_tokens = 13'600;
          })},
         {"one where nothing is read", idle,
-         changed([](auto& out) { out.m_reading_ms = 20; })},
+         changed([](auto& out) { out.m_prefill_backlog_ms = 20; })},
         {"one that fails no calls", idle,
-         changed([](auto& out) { out.m_trouble = 0.1; })},
+         changed([](auto& out) { out.m_error_rate = 0.1; })},
         {"the own zone", idle,
          changed([](auto& out) { out.m_other_zone = true; })},
         {"the other zone before a slower one",
          changed([](auto& out) { out.m_other_zone = true; }),
-         changed([](auto& out) { out.m_token_ms = 1.1; })},
+         changed([](auto& out) { out.m_decode_token_ms = 1.1; })},
     }));
     INFO(each.m_name);
     CHECK(cost(each.m_less) < cost(each.m_more));
@@ -84,9 +85,9 @@
 {
     CHECK_FALSE(is_full(12, 12));
     CHECK(is_full(13, 12));
-    CHECK_FALSE(is_overfull(18, 12));
-    CHECK(is_overfull(19, 12));
+    CHECK_FALSE(is_overloaded(18, 12));
+    CHECK(is_overloaded(19, 12));
     CHECK_FALSE(is_full(0, 0));
     CHECK_FALSE(is_full(5, 4'294'967'295));
-    CHECK_FALSE(is_overfull(5, 4'294'967'295));
+    CHECK_FALSE(is_overloaded(5, 4'294'967'295));
 }
--- a/test/scheduling/test_engine_memory.cpp
+++ b/test/scheduling/test_engine_memory.cpp
@@ -31,48 +31,48 @@
         {"a shorter beginning", {{1, 60}, {2, 10}}, 70},
     }));
     INFO(each.m_name);
-    engine_memory memory;
+    engine_cache memory;
     confirm_parts(memory, {{1, 100}, {2, 10}}, 0);
-    CHECK(held_tokens(memory, each.m_prompt) == each.m_held);
+    CHECK(cached_prefix_tokens(memory, each.m_prompt) == each.m_held);
 }
 
 TEST_CASE("what is used least recently gives way", "[places]")
 {
-    engine_memory memory;
+    engine_cache memory;
     confirm_parts(memory, {{1, 100}, {2, 50}}, 300);
     confirm_parts(memory, {{3, 100}, {4, 50}}, 300);
     confirm_parts(memory, {{1, 100}, {5, 50}}, 300);
-    CHECK(held_tokens(memory, {{1, 100}, {5, 50}}) == 150);
+    CHECK(cached_prefix_tokens(memory, {{1, 100}, {5, 50}}) == 150);
     // The end of the oldest prompt went before its beginning.
-    CHECK(held_tokens(memory, {{3, 100}, {4, 50}}) == 150);
-    CHECK(held_tokens(memory, {{1, 100}, {2, 50}}) == 100);
+    CHECK(cached_prefix_tokens(memory, {{3, 100}, {4, 50}}) == 150);
+    CHECK(cached_prefix_tokens(memory, {{1, 100}, {2, 50}}) == 100);
     confirm_parts(memory, {{6, 100}}, 300);
-    CHECK(held_tokens(memory, {{3, 100}, {4, 50}}) == 0);
+    CHECK(cached_prefix_tokens(memory, {{3, 100}, {4, 50}}) == 0);
 }
 
 TEST_CASE("only what a broken call alone was to read is forgotten", "[places]")
 {
-    engine_memory memory;
+    engine_cache memory;
     confirm_parts(memory, {{1, 100}}, 0);
     expect_parts(memory, {{1, 100}, {2, 50}}, 7, 0);
     expect_parts(memory, {{1, 100}, {3, 50}}, 8, 0);
     forget_parts(memory, 7);
-    CHECK(held_tokens(memory, {{1, 100}, {2, 50}}) == 100);
-    CHECK(held_tokens(memory, {{1, 100}, {3, 50}}) == 150);
+    CHECK(cached_prefix_tokens(memory, {{1, 100}, {2, 50}}) == 100);
+    CHECK(cached_prefix_tokens(memory, {{1, 100}, {3, 50}}) == 150);
     confirm_parts(memory, {{1, 100}, {3, 50}}, 0);
     forget_parts(memory, 8);
-    CHECK(held_tokens(memory, {{1, 100}, {3, 50}}) == 150);
+    CHECK(cached_prefix_tokens(memory, {{1, 100}, {3, 50}}) == 150);
 }
 
 TEST_CASE("rows are bounded, and figures that can't be do no harm", "[places]")
 {
-    engine_memory memory;
-    for (std::uint64_t i = 0; i < 10 * most_memory_rows; ++i)
+    engine_cache memory;
+    for (std::uint64_t i = 0; i < 10 * max_cached_parts; ++i)
         confirm_parts(memory, {{i, 1}}, 0);
-    CHECK(memory.m_parts.size() == most_memory_rows);
+    CHECK(memory.m_parts.size() == max_cached_parts);
     confirm_parts(memory, {{1, 4'000'000'000}, {2, 4'000'000'000}}, 0);
-    CHECK(held_tokens(memory, {{1, 4'000'000'000}, {2, 4'000'000'000}}) ==
-          4'294'967'295);
+    CHECK(cached_prefix_tokens(memory, {{1, 4'000'000'000},
+                                        {2, 4'000'000'000}}) == 4'294'967'295);
     confirm_parts(memory, {{1, 4'000'000'000}}, 1000);
     CHECK(memory.m_parts.empty());
 }
--- a/test/scheduling/test_engine_pace.cpp
+++ b/test/scheduling/test_engine_pace.cpp
@@ -14,7 +14,8 @@
 
 constexpr instant start{seconds(1000)};
 
-token_pace learn(token_pace pace, double token_ms, int calls, instant& now)
+token_latency learn(token_latency pace, double token_ms, int calls,
+                    instant& now)
 {
     for (int i = 0; i < calls; ++i)
     {
@@ -99,22 +100,22 @@
     }));
     INFO(each.m_name);
     instant now = start;
-    token_pace pace;
+    token_latency pace;
     for (const auto& [token_ms, calls] : each.m_seen)
         pace = learn(pace, token_ms, calls, now);
-    const double present = present_token_ms(pace, 1, now + each.m_later);
+    const double present = current_token_ms(pace, 1, now + each.m_later);
     CHECK(present >= each.m_least);
     CHECK(present <= each.m_most);
 }
 
 TEST_CASE("trouble grows with failures and fades", "[places]")
 {
-    engine_trouble trouble;
+    engine_error_rate trouble;
     for (int i = 0; i < 10; ++i)
-        trouble = add_end(trouble, true, start);
-    CHECK(present_trouble(trouble, start) > 0.9);
-    CHECK(present_trouble(trouble, start + seconds(10)) < 0.05);
+        trouble = add_outcome(trouble, true, start);
+    CHECK(current_error_rate(trouble, start) > 0.9);
+    CHECK(current_error_rate(trouble, start + seconds(10)) < 0.05);
     for (int i = 0; i < 10; ++i)
-        trouble = add_end(trouble, false, start);
-    CHECK(present_trouble(trouble, start) < 0.05);
+        trouble = add_outcome(trouble, false, start);
+    CHECK(current_error_rate(trouble, start) < 0.05);
 }
--- a/test/scheduling/test_place_histories.cpp
+++ b/test/scheduling/test_place_histories.cpp
@@ -27,9 +27,9 @@
     return *rc::gen::inRange<std::uint64_t>(1, 40);
 }
 
-std::vector<engine_facts> any_engines()
+std::vector<engine_info> any_engines()
 {
-    std::vector<engine_facts> engines;
+    std::vector<engine_info> engines;
     const int count = *rc::gen::inRange(0, 5);
     engines.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i)
@@ -42,9 +42,9 @@
     return engines;
 }
 
-place_question any_question()
+placement_request any_question()
 {
-    place_question question;
+    placement_request question;
     question.m_service = service;
     question.m_call = any_call();
     question.m_workspace = *rc::gen::inRange<std::uint64_t>(0, 3);
@@ -53,37 +53,38 @@
         question.m_parts.push_back(
             {*rc::gen::inRange<std::uint64_t>(0, 6), any_figure()});
     question.m_prompt_tokens = any_figure();
-    question.m_most_tokens = any_figure();
+    question.m_max_output_tokens = any_figure();
     question.m_rank = *rc::gen::element(call_rank::under_way, call_rank::first,
                                         call_rank::late);
     question.m_priority = any_figure();
-    question.m_patience_ms = any_figure();
-    question.m_program_left_ms = any_figure();
+    question.m_queue_timeout_ms = any_figure();
+    question.m_program_time_left_ms = any_figure();
     question.m_availability_zone = *rc::gen::element<std::string>("a", "b");
     if (*rc::gen::inRange(0, 4) == 0)
         question.m_excluded = {1, 2, 3};
     return question;
 }
 
-place_report any_report()
+placement_report any_report()
 {
     return {.m_service = service,
             .m_call = any_call(),
             .m_runner = *rc::gen::inRange<std::uint64_t>(0, 7),
-            .m_end = *rc::gen::element(place_end::whole, place_end::broken,
-                                       place_end::not_run),
+            .m_end =
+                *rc::gen::element(placement_end::whole, placement_end::broken,
+                                  placement_end::not_run),
             .m_first_byte_ms = any_figure(),
             .m_run_ms = any_figure(),
-            .m_tokens = any_figure()};
+            .m_output_tokens = any_figure()};
 }
 
 /// Each call has at most one place, and the books agree.
-void check_places(const place_service& places)
+void check_places(const placement_service& places)
 {
     std::set<std::uint64_t> seen;
     for (const auto& engine : places.engines())
     {
-        RC_ASSERT(engine.m_memory.m_parts.size() <= most_memory_rows);
+        RC_ASSERT(engine.m_cache.m_parts.size() <= max_cached_parts);
         for (const auto& call : engine.m_calls)
         {
             RC_ASSERT(seen.insert(call.m_call).second);
@@ -99,13 +100,13 @@
           "[places]")
 {
     CHECK(rc::check("places", [] {
-        place_service places;
-        places.follow(any_engines());
+        placement_service places;
+        places.set_engines(any_engines());
         instant now{seconds(1000)};
         std::set<std::uint64_t> waiting;
         const auto take = [&] {
-            std::vector<decided_place> decided;
-            places.take_decided(now, decided);
+            std::vector<placement_decision> decided;
+            places.take_decisions(now, decided);
             for (const auto& row : decided)
                 RC_ASSERT(waiting.erase(row.m_call) == 1);
         };
@@ -115,11 +116,11 @@
             now += milliseconds(*rc::gen::element(0, 1, 20, 500));
             const int what = *rc::gen::inRange(0, 20);
             if (what == 0)
-                places.follow(any_engines());
+                places.set_engines(any_engines());
             else if (what < 12)
             {
                 const auto question = any_question();
-                if (places.ask(question, now))
+                if (places.request_placement(question, now))
                     waiting.erase(question.m_call);
                 else
                     waiting.insert(question.m_call);
@@ -136,11 +137,11 @@
             if (what % 3 == 0)
                 take();
             check_places(places);
-            RC_ASSERT(places.waiting() <= waiting.size());
+            RC_ASSERT(places.queued() <= waiting.size());
         }
         now += seconds(20);
         take();
         RC_ASSERT(waiting.empty());
-        RC_ASSERT(places.waiting() == 0);
+        RC_ASSERT(places.queued() == 0);
     }));
 }
--- a/test/scheduling/test_place_line.cpp
+++ b/test/scheduling/test_place_line.cpp
@@ -14,25 +14,25 @@
 
 constexpr instant start{seconds(1000)};
 
-line_entry make_entry(std::uint64_t call, std::uint64_t workspace,
-                      call_rank rank = call_rank::first, double work_ms = 100)
+queued_call make_entry(std::uint64_t call, std::uint64_t workspace,
+                       call_rank rank = call_rank::first, double work_ms = 100)
 {
     return {.m_call = call,
             .m_workspace = workspace,
             .m_rank = rank,
             .m_priority = 0,
-            .m_since = start + milliseconds(call),
-            .m_until = start + milliseconds(1000 + call),
+            .m_enqueued = start + milliseconds(call),
+            .m_deadline = start + milliseconds(1000 + call),
             .m_work_ms = work_ms};
 }
 
-std::vector<std::uint64_t> take_all(place_line& line)
+std::vector<std::uint64_t> take_all(placement_queue& line)
 {
     std::vector<std::uint64_t> calls;
-    while (const auto* next = next_waiting(line))
+    while (const auto* next = next_queued(line))
     {
         calls.push_back(next->m_call);
-        drop_next(line, start);
+        dequeue_next(line, start);
     }
     return calls;
 }
@@ -44,10 +44,10 @@
     struct sample
     {
         std::string m_name;
-        line_entry m_first;
-        line_entry m_second;
+        queued_call m_first;
+        queued_call m_second;
     };
-    const auto with_priority = [](line_entry entry, std::uint32_t priority) {
+    const auto with_priority = [](queued_call entry, std::uint32_t priority) {
         entry.m_priority = priority;
         return entry;
     };
@@ -66,11 +66,11 @@
          make_entry(3000, 1, call_rank::under_way)},
     }));
     INFO(each.m_name);
-    CHECK(goes_before(each.m_first, each.m_second));
-    CHECK_FALSE(goes_before(each.m_second, each.m_first));
-    place_line line;
-    add_waiting(line, each.m_second);
-    add_waiting(line, each.m_first);
+    CHECK(precedes(each.m_first, each.m_second));
+    CHECK_FALSE(precedes(each.m_second, each.m_first));
+    placement_queue line;
+    enqueue_call(line, each.m_second);
+    enqueue_call(line, each.m_first);
     CHECK(take_all(line) == std::vector<std::uint64_t>{each.m_first.m_call,
                                                        each.m_second.m_call});
     CHECK(line.m_size == 0);
@@ -79,7 +79,7 @@
 TEST_CASE("workspaces have the same work in turn, whatever they ask for",
           "[places]")
 {
-    place_line line;
+    placement_queue line;
     // The first asks for many calls, the second for calls of four times the
     // work, the third for a few.
     std::uint64_t call = 0;
@@ -87,7 +87,7 @@
     const auto add = [&](int count, std::uint64_t workspace, double work_ms) {
         for (int i = 0; i < count; ++i)
         {
-            add_waiting(
+            enqueue_call(
                 line, make_entry(++call, workspace, call_rank::first, work_ms));
             workspaces[call] = workspace;
         }
@@ -107,13 +107,13 @@
 
 TEST_CASE("the wait that a call has ahead", "[places]")
 {
-    place_line line;
+    placement_queue line;
     for (std::uint64_t call = 1; call <= 50; ++call)
-        add_waiting(line, make_entry(call, 1));
+        enqueue_call(line, make_entry(call, 1));
     const auto later = start + milliseconds(100);
     const auto wait = [&line, later](std::uint64_t workspace, call_rank rank) {
-        return expected_line_wait(line, make_entry(99, workspace, rank), 10,
-                                  later);
+        return expected_queue_wait(line, make_entry(99, workspace, rank), 10,
+                                   later);
     };
     // 50 calls of 100 ms at 10 places.
     CHECK(wait(1, call_rank::first) >= 500);
@@ -126,12 +126,12 @@
 
 TEST_CASE("calls leave a line by themselves or when patience ends", "[places]")
 {
-    place_line line;
+    placement_queue line;
     for (std::uint64_t call = 1; call <= 5; ++call)
-        add_waiting(line, make_entry(call, call % 2));
-    CHECK(remove_waiting(line, 3));
-    CHECK_FALSE(remove_waiting(line, 3));
-    const auto expired = take_expired(line, start + milliseconds(1002));
+        enqueue_call(line, make_entry(call, call % 2));
+    CHECK(remove_queued(line, 3));
+    CHECK_FALSE(remove_queued(line, 3));
+    const auto expired = remove_expired(line, start + milliseconds(1002));
     CHECK(expired.size() == 2);
     CHECK(line.m_size == 2);
     CHECK(take_all(line).size() == 2);
@@ -141,8 +141,8 @@
 TEST_CASE("absurd work does not stop a line", "[places]")
 {
     const double work = GENERATE(0.0, -5.0, 1e300, std::nan(""));
-    place_line line;
-    add_waiting(line, make_entry(1, 1, call_rank::first, work));
-    add_waiting(line, make_entry(2, 2));
+    placement_queue line;
+    enqueue_call(line, make_entry(1, 1, call_rank::first, work));
+    enqueue_call(line, make_entry(2, 2));
     CHECK(take_all(line).size() == 2);
 }
--- a/test/scheduling/test_place_loads.cpp
+++ b/test/scheduling/test_place_loads.cpp
@@ -11,7 +11,7 @@
 using namespace pepperturn;
 using namespace pepperturn::test;
 
-std::string describe(const std::string& name, const site_result& result)
+std::string describe(const std::string& name, const simulation_result& result)
 {
     std::ostringstream out;
     out << name << ": programs " << result.m_all.m_programs << ", late "
@@ -23,25 +23,25 @@
     return out.str();
 }
 
-site_result run_placed(const site_shape& shape, std::uint64_t seed,
-                       std::uint32_t vms, int until_ms)
+simulation_result run_placed(const simulation_config& shape, std::uint64_t seed,
+                             std::uint32_t vms, int until_ms)
 {
-    place_site site(shape, seed);
-    placing_policy policy(site);
+    placement_simulation site(shape, seed);
+    central_policy policy(site);
     return site.run(policy, vms, 2000, until_ms);
 }
 
-site_result run_own(const site_shape& shape, std::uint64_t seed,
-                    std::uint32_t vms, int until_ms)
+simulation_result run_own(const simulation_config& shape, std::uint64_t seed,
+                          std::uint32_t vms, int until_ms)
 {
-    place_site site(shape, seed);
-    own_calls_policy policy(site, vms);
+    placement_simulation site(shape, seed);
+    local_policy policy(site, vms);
     return site.run(policy, vms, 2000, until_ms);
 }
 
-site_shape make_even_site()
+simulation_config make_even_site()
 {
-    auto shape = make_uneven_site();
+    auto shape = make_uneven_config();
     shape.m_one_slow_in = 0;
     shape.m_engine.m_noise_share = 0;
     return shape;
@@ -56,7 +56,7 @@
 }
 
 /// Calls a second that begin at the engines that are hurt.
-double hurt_rate(const site_result& result, int from_ms, int until_ms)
+double hurt_rate(const simulation_result& result, int from_ms, int until_ms)
 {
     double sum = 0;
     for (int i = 0; i < hurt_engines; ++i)
@@ -68,17 +68,17 @@
     return sum * 1000 / (until_ms - from_ms);
 }
 
-site_shape make_tenants_site()
+simulation_config make_tenants_site()
 {
-    site_shape shape;
+    simulation_config shape;
     shape.m_engines = 48;
     shape.m_engine.m_slots = 8;
     shape.m_engine.m_token_capacity = 220'527;
-    shape.m_engine.m_told_capacity = 220'527;
+    shape.m_engine.m_reported_capacity = 220'527;
     shape.m_engine.m_token_ms = 1.09;
-    shape.m_engine.m_read_per_ms = 374;
+    shape.m_engine.m_prefill_tokens_per_ms = 374;
     shape.m_engine.m_batch_token_share = 0;
-    shape.m_engine.m_beside_share = 0.027;
+    shape.m_engine.m_concurrency_share = 0.027;
     shape.m_one_slow_in = 0;
     shape.m_engine.m_noise_share = 0;
     shape.m_kinds = {{48.7, 4, 1680}, {28.7, 9, 840}};
@@ -93,7 +93,7 @@
 {
     const auto seed = GENERATE(1U, 2U);
     const double load = GENERATE(1.0, 3.0);
-    const auto shape = with_load(make_uneven_site(), load);
+    const auto shape = with_load(make_uneven_config(), load);
     const auto placed = run_placed(shape, seed, 51, 14'000);
     const auto own = run_own(shape, seed, 51, 14'000);
     CAPTURE(seed, load, describe("placed", placed), describe("own", own));
@@ -128,17 +128,17 @@
     }));
     INFO(each.m_name);
     // Enough load that the engines are needed again.
-    auto shape = with_load(make_uneven_site(), 3);
+    auto shape = with_load(make_uneven_config(), 3);
     shape.m_demand = [](int) { return 1.0; };
-    place_site site(shape, 1);
-    placing_policy policy(site);
+    placement_simulation site(shape, 1);
+    central_policy policy(site);
     site.m_at = [&site, &each](int ms) {
         for (int i = 0; i < hurt_engines; ++i)
         {
             if (ms == 6000)
-                site.slow(hurt_engine(i), each.m_factor);
+                site.set_slowdown(hurt_engine(i), each.m_factor);
             if (ms == 9000)
-                site.slow(hurt_engine(i), 1);
+                site.set_slowdown(hurt_engine(i), 1);
         }
     };
     const auto result = site.run(policy, 51, 2000, 15'000);
@@ -153,13 +153,13 @@
 TEST_CASE("a VM that takes over learns within two seconds", "[places]")
 {
     const auto seed = GENERATE(1U, 2U, 3U);
-    auto shape = with_load(make_uneven_site(), 2);
+    auto shape = with_load(make_uneven_config(), 2);
     shape.m_demand = [](int) { return 1.0; };
-    place_site site(shape, seed);
-    placing_policy policy(site);
+    placement_simulation site(shape, seed);
+    central_policy policy(site);
     site.m_at = [&policy](int ms) {
         if (ms == 6000)
-            policy.start_anew(instant(seconds(1006)));
+            policy.replace_service(instant(seconds(1006)));
     };
     const auto result = site.run(policy, 51, 2000, 12'000);
     CAPTURE(seed, describe("placed", result));
@@ -180,13 +180,13 @@
     // A quarter of the engines is left, and the largest workspace asks for
     // 7.5 times its usual.
     shape.m_engines = 12;
-    shape.m_first_workspace = [](int ms) {
+    shape.m_first_workspace_load = [](int ms) {
         return ms > 4000 && ms < 8000 ? 7.5 * 5 : 5;
     };
-    place_site site(shape, seed);
-    placing_policy policy(site);
+    placement_simulation site(shape, seed);
+    central_policy policy(site);
     const auto result = site.run(policy, 76, 4000, 12'000);
-    site_result::counts others;
+    simulation_result::counts others;
     for (const auto& [workspace, counts] : result.m_by_workspace)
     {
         if (workspace != 1)
@@ -206,14 +206,14 @@
 TEST_CASE("more than all engines can do: who has begun is served", "[places]")
 {
     const auto seed = GENERATE(1U, 2U);
-    const auto shape = with_load(make_uneven_site(), 5);
+    const auto shape = with_load(make_uneven_config(), 5);
     const auto placed = run_placed(shape, seed, 51, 10'000);
     const auto own = run_own(shape, seed, 51, 10'000);
     CAPTURE(seed, describe("placed", placed), describe("own", own));
     CHECK(placed.m_all.m_refused_begun == 0);
     // Most are told so at once.
     CHECK(placed.m_all.m_refused_waited * 10 < placed.m_all.m_refused);
-    const auto in_time = [](const site_result& result) {
+    const auto in_time = [](const simulation_result& result) {
         return result.m_all.m_programs - result.m_all.m_late;
     };
     CHECK(in_time(placed) > 2 * in_time(own));
@@ -221,8 +221,8 @@
 
 TEST_CASE("engines that hold less than they tell are still found", "[places]")
 {
-    auto shape = make_uneven_site();
-    shape.m_engine.m_token_capacity = shape.m_engine.m_told_capacity / 2;
+    auto shape = make_uneven_config();
+    shape.m_engine.m_token_capacity = shape.m_engine.m_reported_capacity / 2;
     const auto placed = run_placed(shape, 1, 51, 10'000);
     const auto own = run_own(shape, 1, 51, 10'000);
     CAPTURE(describe("placed", placed), describe("own", own));
@@ -235,13 +235,13 @@
     std::ostringstream table;
     for (const double load : {1.0, 2.0, 3.0, 4.0})
     {
-        const auto shape = with_load(make_uneven_site(), load);
+        const auto shape = with_load(make_uneven_config(), load);
         const auto add = [&](const std::string& name, auto make) {
-            site_result::counts sum;
+            simulation_result::counts sum;
             std::uint64_t shared = 0;
             for (const std::uint64_t seed : {1U, 2U, 3U})
             {
-                place_site site(shape, seed);
+                placement_simulation site(shape, seed);
                 const auto policy = make(site);
                 const auto result = site.run(*policy, 51, 2000, 14'000);
                 sum = sum + result.m_all;
@@ -251,15 +251,16 @@
                   << ", stretch " << sum.mean_stretch()
                   << ", shared tokens read " << shared / 3 << '\n';
         };
-        add("own calls", [](const place_site& site) {
-            return std::make_unique<own_calls_policy>(site, 51);
+        add("own calls", [](const placement_simulation& site) {
+            return std::make_unique<local_policy>(site, 51);
         });
-        add("told loads of 300 ms, two drawn", [](const place_site& site) {
-            return std::make_unique<told_loads_policy>(site, 51,
-                                                       milliseconds(300));
-        });
-        add("one who places", [](const place_site& site) {
-            return std::make_unique<placing_policy>(site);
+        add("told loads of 300 ms, two drawn",
+            [](const placement_simulation& site) {
+                return std::make_unique<stale_load_policy>(site, 51,
+                                                           milliseconds(300));
+            });
+        add("one who places", [](const placement_simulation& site) {
+            return std::make_unique<central_policy>(site);
         });
     }
     WARN(table.str());
@@ -273,7 +274,7 @@
     shape.m_engines = 128;
     shape.m_engine.m_slots = 6;
     shape.m_engine.m_token_capacity = capacity;
-    shape.m_engine.m_told_capacity = capacity;
+    shape.m_engine.m_reported_capacity = capacity;
     shape.m_kinds = {{100, 6, 1500}, {80, 4, 800}};
     const auto placed = run_placed(shape, 1, 259, 7'000);
     const auto own = run_own(shape, 1, 259, 7'000);
--- a/test/scheduling/test_placement.cpp
+++ b/test/scheduling/test_placement.cpp
@@ -14,8 +14,8 @@
     struct sample
     {
         std::string m_name;
-        placement_candidate m_chosen;
-        placement_candidate m_other;
+        runner_candidate m_chosen;
+        runner_candidate m_other;
     };
     const auto each = GENERATE(values<sample>({
         {"the less loaded", {.m_load = 0.1}, {.m_load = 0.2}},
@@ -26,11 +26,11 @@
          {.m_load = 0.2, .m_other_zone = true},
          {.m_load = 0.4}},
         {"the one with the prompt",
-         {.m_load = 0.4, .m_has_prompt = true},
+         {.m_load = 0.4, .m_has_cached_prompt = true},
          {.m_load = 0.0}},
         {"not if it is much busier",
          {.m_load = 0.0},
-         {.m_load = 0.5, .m_has_prompt = true}},
+         {.m_load = 0.5, .m_has_cached_prompt = true}},
         {"an open connection",
          {.m_load = 0.05, .m_connected = true},
          {.m_load = 0.0}},
@@ -45,25 +45,25 @@
          {.m_load = 0.1}},
         {"not the failing one",
          {.m_load = 0.5},
-         {.m_load = 0.0, .m_trouble = 0.5}},
+         {.m_load = 0.0, .m_error_rate = 0.5}},
         {"anyone before one that has just refused",
          {.m_load = 3.0},
-         {.m_load = 0.0, .m_avoided = true}},
+         {.m_load = 0.0, .m_deprioritised = true}},
     }));
     INFO(each.m_name);
-    CHECK(choose_placement({each.m_chosen, each.m_other}) == 0U);
-    CHECK(choose_placement({each.m_other, each.m_chosen}) == 1U);
+    CHECK(select_runner({each.m_chosen, each.m_other}) == 0U);
+    CHECK(select_runner({each.m_other, each.m_chosen}) == 1U);
 }
 
 TEST_CASE("the draw decides among equals, and avoided ones still come",
           "[scheduling]")
 {
-    placement_candidate first{.m_load = 0.2};
-    placement_candidate second{.m_load = 0.2};
-    first.m_draw = 7;
-    second.m_draw = 3;
-    CHECK(choose_placement({first, second}) == 1U);
-    CHECK(choose_placement(std::vector<placement_candidate>{
-              {.m_load = 0.0, .m_avoided = true}}) == 0U);
-    CHECK_FALSE(choose_placement({}).has_value());
+    runner_candidate first{.m_load = 0.2};
+    runner_candidate second{.m_load = 0.2};
+    first.m_random_tiebreak = 7;
+    second.m_random_tiebreak = 3;
+    CHECK(select_runner({first, second}) == 1U);
+    CHECK(select_runner(std::vector<runner_candidate>{
+              {.m_load = 0.0, .m_deprioritised = true}}) == 0U);
+    CHECK_FALSE(select_runner({}).has_value());
 }
--- a/test/scheduling/test_prompt_home.cpp
+++ b/test/scheduling/test_prompt_home.cpp
@@ -19,7 +19,7 @@
     {
         std::string m_name;
         std::vector<prompt_part> m_parts;
-        std::vector<prompt_place> m_places;
+        std::vector<prompt_location> m_places;
         std::uint64_t m_runner;
     };
     const std::vector<prompt_part> own{{shared, 500}, {parent, 900}};
@@ -42,6 +42,6 @@
         {"no parts", {}, {{parent, 700, 11}}, 0},
     }));
     INFO(each.m_name);
-    const auto home = find_prompt_home(each.m_parts, each.m_places);
+    const auto home = find_cached_prompt(each.m_parts, each.m_places);
     CHECK((home ? home->m_runner : 0) == each.m_runner);
 }
--- a/test/scheduling/test_read_pressure.cpp
+++ b/test/scheduling/test_read_pressure.cpp
@@ -24,7 +24,7 @@
     for (const auto& each : samples)
     {
         INFO(each.m_memory_mb);
-        CHECK(held_bound(each.m_memory_mb) / megabyte == each.m_bound_mb);
+        CHECK(buffer_limit(each.m_memory_mb) / megabyte == each.m_bound_mb);
     }
 }
 
@@ -74,7 +74,7 @@
 {
     struct sample
     {
-        unread_answer m_answer;
+        unread_response m_answer;
         bool m_slow;
     };
     const std::vector<sample> samples{
@@ -91,7 +91,8 @@
     };
     for (const auto& each : samples)
     {
-        INFO(each.m_answer.m_taken << " in " << each.m_answer.m_waited.count());
+        INFO(each.m_answer.m_consumed << " in "
+                                      << each.m_answer.m_waited.count());
         CHECK(is_slow_reader(each.m_answer) == each.m_slow);
     }
 }
@@ -99,7 +100,7 @@
 TEST_CASE("the slowest are cut, and no more than needed", "[readers]")
 {
     const milliseconds while_waited{4000};
-    const std::vector<unread_answer> answers{
+    const std::vector<unread_response> answers{
         {100, 8000, while_waited},    // slow
         {100, 0, while_waited},       // stopped
         {100, 1000000, while_waited}, // as usual
@@ -125,7 +126,7 @@
     for (const auto& each : samples)
     {
         INFO(each.m_held);
-        CHECK(choose_cuts(answers, each.m_held, 1000) == each.m_cut);
+        CHECK(choose_aborts(answers, each.m_held, 1000) == each.m_cut);
     }
 }
 
@@ -154,9 +155,9 @@
     for (const auto& each : samples)
     {
         INFO(each.m_what);
-        CHECK(may_gather_on(each.m_level, each.m_committed, 1000, 10,
-                            each.m_first) == each.m_goes_on);
+        CHECK(may_buffer_more(each.m_level, each.m_committed, 1000, 10,
+                              each.m_first) == each.m_goes_on);
     }
-    CHECK(room_limit(room_use::work, 1000) == 950);
-    CHECK(room_limit(room_use::delivery, 1000) == 1000);
+    CHECK(reservation_limit(memory_use::work, 1000) == 950);
+    CHECK(reservation_limit(memory_use::delivery, 1000) == 1000);
 }
--- a/test/scheduling/test_second_try.cpp
+++ b/test/scheduling/test_second_try.cpp
@@ -8,13 +8,13 @@
 
 using namespace pepperturn;
 
-answer_times times_of(const std::vector<int>& taken_ms, int rounds)
+response_times times_of(const std::vector<int>& taken_ms, int rounds)
 {
-    answer_times out;
+    response_times out;
     for (int i = 0; i < rounds; ++i)
     {
         for (const int ms : taken_ms)
-            out = add_answer(out, milliseconds(ms));
+            out = add_response_time(out, milliseconds(ms));
     }
     return out;
 }
@@ -23,18 +23,18 @@
 /// the budget lets through.
 unsigned second_tries(unsigned calls, unsigned hung)
 {
-    try_budget budget;
+    retry_budget budget;
     unsigned out = 0;
     for (unsigned i = 0; i < calls; ++i)
     {
-        budget = earn_try(budget);
-        if (!may_try_again(budget))
+        budget = earn_retry(budget);
+        if (!retry_allowed(budget))
             continue;
-        budget = spend_try(budget);
+        budget = spend_retry(budget);
         if (i % 100 < hung)
             ++out;
         else
-            budget = return_try(budget);
+            budget = refund_retry(budget);
     }
     return out;
 }
@@ -43,7 +43,7 @@
 
 TEST_CASE("quantiles of answers, to a fifth", "[second_try]")
 {
-    CHECK(answer_quantile({}, 0.5) == milliseconds(0));
+    CHECK(response_time_quantile({}, 0.5) == milliseconds(0));
     struct sample
     {
         std::vector<int> m_taken_ms;
@@ -60,8 +60,8 @@
     };
     for (const auto& each : samples)
     {
-        const auto got =
-            answer_quantile(times_of(each.m_taken_ms, 100), each.m_share);
+        const auto got = response_time_quantile(times_of(each.m_taken_ms, 100),
+                                                each.m_share);
         INFO(got.count());
         CHECK(got >= milliseconds(each.m_least_ms));
         CHECK(got <= milliseconds(each.m_most_ms));
@@ -89,7 +89,7 @@
     for (const auto& each : samples)
     {
         const auto wait =
-            second_try_wait(times_of(each.m_taken_ms, each.m_rounds));
+            retry_timeout(times_of(each.m_taken_ms, each.m_rounds));
         REQUIRE(wait.has_value() == (each.m_least_ms > 0));
         INFO(wait.value_or(milliseconds(0)).count());
         CHECK(wait.value_or(milliseconds(0)) >= milliseconds(each.m_least_ms));
@@ -98,8 +98,8 @@
     // It follows when all runners get slower.
     auto times = times_of({10}, 200);
     for (int i = 0; i < 100; ++i)
-        times = add_answer(times, milliseconds(100));
-    CHECK(second_try_wait(times) >= milliseconds(400));
+        times = add_response_time(times, milliseconds(100));
+    CHECK(retry_timeout(times) >= milliseconds(400));
 }
 
 TEST_CASE("second tries stay a few in a hundred", "[second_try]")
--- a/test/scheduling/test_start_hold.cpp
+++ b/test/scheduling/test_start_hold.cpp
@@ -15,7 +15,7 @@
     struct row
     {
         const char* m_what;
-        start_facts m_facts;
+        startup_wait_conditions m_facts;
         milliseconds m_expected;
     };
     const auto each = GENERATE(values<row>({
@@ -39,5 +39,5 @@
          milliseconds(0)},
     }));
     INFO(each.m_what);
-    CHECK(start_hold(each.m_facts) == each.m_expected);
+    CHECK(startup_wait(each.m_facts) == each.m_expected);
 }
--- a/test/soak/main.cpp
+++ b/test/soak/main.cpp
@@ -285,8 +285,8 @@
         if (answer.m_status == 200)
         {
             event_reader events(true);
-            events.take(answer.m_body);
-            m_rules.handed_out(program.m_id, events.whole_events());
+            events.consume(answer.m_body);
+            m_rules.handed_out(program.m_id, events.complete_events());
             if (answer.m_whole)
             {
                 program.m_chain = body + events.data();
--- a/test/support/fleet/lonely_edge.hpp
+++ b/test/support/fleet/lonely_edge.hpp
@@ -28,14 +28,14 @@
     void limit_cold(double per_s)
     {
         auto changed = config(2);
-        changed.m_services["svc"].m_cold_per_s = per_s;
-        m_proxy.take_config(std::move(changed));
-        m_proxy.ask_for_cold(m_cold);
+        changed.m_services["svc"].m_cold_requests_per_s = per_s;
+        m_proxy.apply_config(std::move(changed));
+        m_proxy.set_cold_client(m_cold);
     }
 
 private:
     quota_client m_quota{m_own_io, m_own_time, m_own_links};
-    cold_client m_cold{m_own_time, m_quota, 1.5, 5};
+    cold_runner_client m_cold{m_own_time, m_quota, 1.5, 5};
 };
 
 } // namespace pepperturn::test
--- a/test/support/fleet/proxy_world.hpp
+++ b/test/support/fleet/proxy_world.hpp
@@ -28,11 +28,10 @@
         m_port = free_port(m_io);
         std::string reason;
         REQUIRE(m_proxy.listen(endpoint(), reason));
-        m_proxy.take_config(config(1));
+        m_proxy.apply_config(config(1));
         // The draw among equals is fixed by the zones.
-        m_proxy.take_runners(
-            {{"r1", "svc", m_first.address(), "z", 4, false},
-             {"r2", "svc", m_second.address(), "y", 4, false}});
+        m_proxy.set_runners({{"r1", "svc", m_first.address(), "z", 4, false},
+                             {"r2", "svc", m_second.address(), "y", 4, false}});
     }
 
     [[nodiscard]] tcp::endpoint endpoint() const
--- a/test/support/fleet/reach_world.hpp
+++ b/test/support/fleet/reach_world.hpp
@@ -67,7 +67,7 @@
             m_wires[row.m_name] = std::make_unique<cut_wire>(fleet.m_io, port);
             row.m_address = m_wires[row.m_name]->address();
         }
-        m_links.follow(members);
+        m_links.set_members(members);
         m_reach.follow(members);
         m_client.follow(fleet.m_state.m_views);
         REQUIRE(fleet.wait([&] { return all_direct(); }));
@@ -85,7 +85,7 @@
     {
         return std::all_of(m_wires.begin(), m_wires.end(),
                            [&](const auto& row) {
-                               return m_links.reached_directly(row.first);
+                               return m_links.reachable_directly(row.first);
                            });
     }
     void cut(bool forth = true, bool back = true)
--- a/test/support/fleet/storage_world.hpp
+++ b/test/support/fleet/storage_world.hpp
@@ -90,7 +90,7 @@
         m_edge_source.on_state([this](const cluster_state& news) {
             if (!merge_state(m_state, news).m_views.empty())
             {
-                m_links.follow(members_of(m_state.m_views));
+                m_links.set_members(members_of(m_state.m_views));
                 m_client.follow(m_state.m_views);
             }
         });
--- a/test/tenancy/owner_fleet.hpp
+++ b/test/tenancy/owner_fleet.hpp
@@ -21,21 +21,21 @@
 
 /// A VM that hears the store knows of a change by then: what it believes of the
 /// configuration is no older.
-inline constexpr milliseconds config_known{2000};
+inline constexpr milliseconds config_known_within{2000};
 /// The longest wait for a place, as edge VMs ask for it.
-inline constexpr std::uint32_t longest_wait_ms = 1000;
+inline constexpr std::uint32_t max_queue_timeout_ms = 1000;
 /// From then on after a change it binds.
-inline constexpr milliseconds config_apply{3000};
+inline constexpr milliseconds config_applied_within{3000};
 
 /// The operator's rule for one window.
-inline double most_tolerated(const request_limit& limit)
+inline double max_tolerated(const request_limit& limit)
 {
     return (limit.m_rate_per_s * to_seconds(window) + limit.m_burst) * 1.1 + 20;
 }
 /// What owners grant together in one window.
-inline double most_granted_of(const request_limit& limit)
+inline double max_granted(const request_limit& limit)
 {
-    return most_in_window(limit, 1, {});
+    return max_in_window(limit, 1, {});
 }
 
 struct owner_vm
@@ -50,7 +50,7 @@
 };
 
 /// What a test breaks on purpose.
-enum class broken : std::uint8_t
+enum class fault : std::uint8_t
 {
     nothing,
     /// Owners grant however old what they know is.
@@ -72,10 +72,10 @@
     return {name, {}, {}, 0, member_state::full, false};
 }
 
-class fleet
+class owner_fleet
 {
 public:
-    explicit fleet(std::size_t size, broken what = broken::nothing)
+    explicit owner_fleet(std::size_t size, fault what = fault::nothing)
         : m_broken(what)
     {
         m_now = instant{} + std::chrono::seconds(100);
@@ -102,9 +102,9 @@
     /// Its question to the store is answered at once.
     void hear(owner_vm& vm)
     {
-        if (m_broken == broken::lineage)
+        if (m_broken == fault::lineage)
             vm.m_owners.m_views.clear();
-        (void)take_views(vm.m_owners, {m_view}, m_now, takeover_of());
+        (void)apply_views(vm.m_owners, {m_view}, m_now, takeover_of());
         vm.m_views_at = m_now;
     }
     void toggle_member(std::size_t index)
@@ -117,24 +117,25 @@
             next = without(m_view, name);
         else
             return;
-        m_view = succeed(m_view, std::move(next));
+        m_view = append_step(m_view, std::move(next));
         ++m_view.m_epoch;
     }
     void restart(owner_vm& vm, bool keeps_disk)
     {
         vm.m_limiter = limiter{};
         // Whoever waits for a place there finds its connection gone.
-        if (m_broken != broken::places)
+        if (m_broken != fault::places)
             std::erase_if(m_grants, [&](const grant& each) {
                 return each.m_owner == &vm && each.m_at > m_now;
             });
         vm.m_started = m_now;
         vm.m_views_at = {};
-        const bool settled = m_broken == broken::settling ||
+        const bool settled = m_broken == fault::settling ||
                              is_settled(vm.m_owners, m_now, takeover_of());
-        vm.m_owners = keeps_disk ? kept_knowledge(vm.m_owners.m_views, settled,
-                                                  m_now, takeover_of())
-                                 : owner_knowledge{};
+        vm.m_owners = keeps_disk
+                          ? restore_knowledge(vm.m_owners.m_views, settled,
+                                              m_now, takeover_of())
+                          : owner_knowledge{};
     }
     /// \returns how many of \p count requests are granted
     int ask(owner_vm& vm, int count, const request_limit& limit = usual_limit,
@@ -143,12 +144,13 @@
         return ask(vm, count,
                    {some_workspace, limit, revision, 0, false, false});
     }
-    int ask(owner_vm& vm, int count, const quota_question& question)
+    int ask(owner_vm& vm, int count, const quota_request& question)
     {
-        const auto left = m_broken == broken::freshness
-                              ? milliseconds::max()
-                              : use_left(bounds, vm.m_views_at, m_now);
-        const auto wanted = owners_for(question);
+        const auto left =
+            m_broken == fault::freshness
+                ? milliseconds::max()
+                : remaining_use_time(bounds, vm.m_views_at, m_now);
+        const auto wanted = owner_count_for(question);
         const auto& history = vm.m_owners.m_history;
         const auto share = left ? share_of(history, vm.m_name, some_workspace,
                                            m_now, takeover_of(), wanted)
@@ -159,23 +161,24 @@
         int granted = 0;
         for (int i = 0; i < count; ++i)
         {
-            const auto told = vm.m_limiter.ask(
-                with_patience(question, left), share,
-                m_broken == broken::memory ? instant{} : since, m_now);
+            const auto told = vm.m_limiter.handle(
+                limit_queue_timeout(question, left), share,
+                m_broken == fault::memory ? instant{} : since, m_now);
             if (told.m_outcome != quota_outcome::granted)
                 break;
             ++granted;
-            m_last_place = told.m_place;
-            m_grants.push_back({m_now + wait_of_place(told.m_place), &vm});
+            m_last_place = told.m_packed_grant;
+            m_grants.push_back(
+                {m_now + wait_of_grant(told.m_packed_grant), &vm});
         }
         return granted;
     }
     /// The last grant comes back from \p vm, which gave it, unused.
-    void give_back(owner_vm& vm, quota_question question)
+    void give_back(owner_vm& vm, quota_request question)
     {
-        question.m_returned = true;
-        question.m_place = m_last_place;
-        (void)vm.m_limiter.ask(question, 0, instant{}, m_now);
+        question.m_is_return = true;
+        question.m_packed_grant = m_last_place;
+        (void)vm.m_limiter.handle(question, 0, instant{}, m_now);
         m_grants.pop_back();
     }
     /// The operator changes the limit; VMs that hear the store know it in time.
@@ -184,10 +187,11 @@
         m_limits.push_back({m_now, limit});
     }
     /// As a VM asks that may not have heard of the last change yet.
-    [[nodiscard]] quota_question question(bool knows_newest) const
+    [[nodiscard]] quota_request question(bool knows_newest) const
     {
-        const bool may_lag = m_limits.size() > 1 &&
-                             m_now - m_limits.back().m_from < config_known;
+        const bool may_lag =
+            m_limits.size() > 1 &&
+            m_now - m_limits.back().m_from < config_known_within;
         const auto known = m_limits.size() - (may_lag && !knows_newest ? 2 : 1);
         return {some_workspace, m_limits[known].m_limit, known + 1, 0, false,
                 false};
@@ -211,9 +215,10 @@
             {
                 const bool over =
                     i + 1 < m_limits.size() &&
-                    m_limits[i + 1].m_from + config_apply < end - window;
+                    m_limits[i + 1].m_from + config_applied_within <
+                        end - window;
                 if (!over && m_limits[i].m_from <= end)
-                    most = std::max(most, most_tolerated(m_limits[i].m_limit));
+                    most = std::max(most, max_tolerated(m_limits[i].m_limit));
             }
             keeps = keeps && static_cast<double>(count) <= most;
         });
@@ -236,7 +241,7 @@
 private:
     [[nodiscard]] milliseconds takeover_of() const
     {
-        return m_broken == broken::takeover ? milliseconds(0) : takeover;
+        return m_broken == fault::takeover ? milliseconds(0) : takeover;
     }
 
     struct grant
@@ -272,7 +277,7 @@
         }
     }
 
-    broken m_broken;
+    fault m_broken;
     std::vector<limit_period> m_limits{{instant{}, usual_limit}};
     std::uint32_t m_last_place = 0;
     instant m_now{};
--- a/test/tenancy/test_cold_runners.cpp
+++ b/test/tenancy/test_cold_runners.cpp
@@ -17,12 +17,12 @@
 
 TEST_CASE("a cold runner's bound holds over all that count it", "[tenancy]")
 {
-    const auto bound =
-        GENERATE(values<cold_bound>({{20, 1.5, 5}, {4, 1, 0}, {300, 1.2, 20}}));
+    const auto bound = GENERATE(
+        values<cold_runner_bound>({{20, 1.5, 5}, {4, 1, 0}, {300, 1.2, 20}}));
     const double most = bound.m_per_s * bound.m_excess + bound.m_slack;
     const auto play = [&](bool exact) {
-        fleet all(5);
-        auto question = cold_question(some_workspace, bound);
+        owner_fleet all(5);
+        auto question = cold_runner_request(some_workspace, bound);
         question.m_workspace = some_workspace;
         question.m_exact = exact;
         int granted = 0;
@@ -38,7 +38,7 @@
                 all.restart(all.vm(static_cast<std::size_t>(tick) / 100), true);
             all.pass(milliseconds(20));
         }
-        return std::pair(all.most_in(milliseconds(1000) + longest_cold_use),
+        return std::pair(all.most_in(milliseconds(1000) + max_cold_grant_age),
                          granted);
     };
     const auto [busiest, granted] = play(true);
@@ -51,11 +51,11 @@
 
 TEST_CASE("no history of owners overruns a cold runner", "[tenancy][property]")
 {
-    const cold_bound bound{20, 1.5, 5};
+    const cold_runner_bound bound{20, 1.5, 5};
     CHECK(rc::check("cold runners", [&] {
         const std::size_t size = 4;
-        fleet all(size);
-        auto question = cold_question(some_workspace, bound);
+        owner_fleet all(size);
+        auto question = cold_runner_request(some_workspace, bound);
         question.m_workspace = some_workspace;
         const auto steps = *rc::gen::inRange(0, 100);
         for (int i = 0; i < steps; ++i)
@@ -82,7 +82,7 @@
             all.pass(milliseconds(*rc::gen::inRange(0, 800)));
         }
         RC_ASSERT(static_cast<double>(
-                      all.most_in(milliseconds(1000) + longest_cold_use)) <=
+                      all.most_in(milliseconds(1000) + max_cold_grant_age)) <=
                   bound.m_per_s * bound.m_excess + bound.m_slack);
     }));
 }
--- a/test/tenancy/test_freshness.cpp
+++ b/test/tenancy/test_freshness.cpp
@@ -56,17 +56,18 @@
         m_now += late;
         vm.m_revision = std::max(vm.m_revision, seen);
         if (seen == vm.m_revision)
-            vm.m_freshness.m_config_at = asked;
+            vm.m_freshness.m_config_confirmed_at = asked;
     }
     /// What this VM may believe is true: a configuration newer than its own
     /// is younger than its bound.
     [[nodiscard]] bool is_sound(const vm_row& vm) const
     {
-        if (vm.m_freshness.m_config_at == instant{})
+        if (vm.m_freshness.m_config_confirmed_at == instant{})
             return true;
         const auto next = m_changed_at.find(vm.m_revision + 1);
         return next == m_changed_at.end() ||
-               vm.m_freshness.m_config_at <= next->second + vm.m_offset;
+               vm.m_freshness.m_config_confirmed_at <=
+                   next->second + vm.m_offset;
     }
 
     instant m_now{};
@@ -103,12 +104,14 @@
     const auto told = report_freshness(bound, 8, now);
     CHECK(told == freshness_message{8, 701, UINT32_MAX});
     const auto asked = instant{} + milliseconds(50000);
-    CHECK(derive_freshness(told, asked, 8, true).m_config_at ==
+    CHECK(derive_freshness(told, asked, 8, true).m_config_confirmed_at ==
           asked - milliseconds(701));
     // Never heard stays so.
-    CHECK(derive_freshness(told, asked, 8, true).m_views_at == instant{});
+    CHECK(derive_freshness(told, asked, 8, true).m_views_confirmed_at ==
+          instant{});
     // This VM is behind: the answer is of a configuration that it lacks.
-    CHECK(derive_freshness(told, asked, 7, true).m_config_at == instant{});
+    CHECK(derive_freshness(told, asked, 7, true).m_config_confirmed_at ==
+          instant{});
     CHECK(age_of(instant{}, now) == milliseconds::max());
     CHECK(age_of(now, now + milliseconds(3)) == milliseconds(3));
 }
