--- a/test/tenancy/test_limit_histories.cpp
+++ b/test/tenancy/test_limit_histories.cpp
@@ -14,17 +14,18 @@
 using namespace pepperturn::test;
 
 /// Requests of some programs, which wait or do not, and may come back.
-void ask_something(fleet& all, owner_vm& vm)
+void ask_something(owner_fleet& all, owner_vm& vm)
 {
     auto question = all.question(*rc::gen::arbitrary<bool>());
     question.m_program = *rc::gen::inRange<std::uint64_t>(0, 4);
-    question.m_patience_ms = *rc::gen::element(0U, 300U, longest_wait_ms);
+    question.m_queue_timeout_ms =
+        *rc::gen::element(0U, 300U, max_queue_timeout_ms);
     const int granted = all.ask(vm, *rc::gen::inRange(0, 400), question);
     if (granted > 0 && *rc::gen::arbitrary<bool>())
         all.give_back(vm, question);
 }
 
-void play_step(fleet& all, std::size_t size)
+void play_step(owner_fleet& all, std::size_t size)
 {
     auto& vm = all.vm(*rc::gen::inRange<std::size_t>(0, size));
     switch (*rc::gen::inRange(0, 10))
@@ -53,9 +54,9 @@
 }
 
 /// An owner is cut off with its callers, and a new one takes its share.
-std::size_t grants_around_a_cut(broken what)
+std::size_t grants_around_a_cut(fault what)
 {
-    fleet all(4, what);
+    owner_fleet all(4, what);
     const auto serve = [&](std::size_t vm) { all.ask(all.vm(vm), 1000); };
     for (int tick = 0; tick < 150; ++tick)
     {
@@ -80,7 +81,7 @@
 {
     const std::vector<std::string> members{"a", "b", "c", "d", "e"};
     const auto owners = owners_of(members, 5);
-    CHECK(owners.size() == owners_wanted);
+    CHECK(owners.size() == target_owner_count);
     CHECK(owners_of({"e", "d", "c", "b", "a"}, 5) == owners);
     // Who is no owner may go without moving a share.
     for (const auto& name : members)
@@ -99,7 +100,7 @@
 {
     const instant start = instant{} + std::chrono::seconds(50);
     owner_history history = unknown_history();
-    note_members(history, {"a"}, start, takeover);
+    record_members(history, {"a"}, start, takeover);
     const auto share = [&](milliseconds after) {
         return share_of(history, "a", 1, start + after, takeover);
     };
@@ -108,16 +109,16 @@
     CHECK(share(takeover + milliseconds(1)) == 1);
     CHECK(granting_since(history, "a", 1, 1.0, takeover) == start + takeover);
     // Shares shrink at once.
-    note_members(history, {"a", "b"}, start + milliseconds(9000), takeover);
+    record_members(history, {"a", "b"}, start + milliseconds(9000), takeover);
     CHECK(share(milliseconds(9000)) == 0.5);
-    note_members(history, {"a"}, start + milliseconds(10000), takeover);
+    record_members(history, {"a"}, start + milliseconds(10000), takeover);
     CHECK(share(milliseconds(10000)) == 0.5);
     CHECK(share(milliseconds(15001)) == 1);
 }
 
 TEST_CASE("what the limit allows is granted", "[tenancy]")
 {
-    fleet all(3);
+    owner_fleet all(3);
     int granted = 0;
     for (int tick = 0; tick < 100; ++tick)
     {
@@ -129,14 +130,13 @@
         all.pass(milliseconds(100));
     }
     // Twice what a window holds, but for what three owners round down.
-    CHECK(granted >= 2 * most_granted_of(usual_limit) - 2 * 3);
-    CHECK(static_cast<double>(all.most_granted()) <=
-          most_granted_of(usual_limit));
+    CHECK(granted >= 2 * max_granted(usual_limit) - 2 * 3);
+    CHECK(static_cast<double>(all.most_granted()) <= max_granted(usual_limit));
 }
 
 TEST_CASE("a limit that is lowered binds at once", "[tenancy]")
 {
-    fleet all(1);
+    owner_fleet all(1);
     // Of a window's 663 a quarter second holds 163 at once, and 25.
     CHECK(all.ask(all.vm(0), 1000) == 188);
     all.pass(milliseconds(1000));
@@ -155,13 +155,12 @@
     CHECK(all.ask(all.vm(0), 1000, usual_limit, 3) == 25);
     all.pass(milliseconds(1000));
     CHECK(all.ask(all.vm(0), 1000, usual_limit, 3) <= 188);
-    CHECK(static_cast<double>(all.most_granted()) <=
-          most_granted_of(usual_limit));
+    CHECK(static_cast<double>(all.most_granted()) <= max_granted(usual_limit));
 }
 
 TEST_CASE("below a lowered limit no window holds more than it", "[tenancy]")
 {
-    fleet all(1);
+    owner_fleet all(1);
     (void)all.ask(all.vm(0), 1000);
     const request_limit low{10, 10};
     int granted = 0;
@@ -177,7 +176,7 @@
 
 TEST_CASE("a restart takes it that the most was granted before", "[tenancy]")
 {
-    fleet all(1);
+    owner_fleet all(1);
     CHECK(all.ask(all.vm(0), 1000) == 188);
     all.restart(all.vm(0), true);
     all.hear(all.vm(0));
@@ -202,8 +201,8 @@
 TEST_CASE("many restarts, each with a full line, break no limit", "[tenancy]")
 {
     const auto gap = GENERATE(300, 600, 1100, 2600, 4900);
-    const auto play = [&](broken what) {
-        fleet all(1, what);
+    const auto play = [&](fault what) {
+        owner_fleet all(1, what);
         for (int tick = 0; tick < 200; ++tick)
         {
             all.hear(all.vm(0));
@@ -214,27 +213,27 @@
         }
         return static_cast<double>(all.most_granted());
     };
-    CHECK(play(broken::nothing) <= most_granted_of(usual_limit));
-    CHECK(play(broken::memory) > most_tolerated(usual_limit));
+    CHECK(play(fault::nothing) <= max_granted(usual_limit));
+    CHECK(play(fault::memory) > max_tolerated(usual_limit));
 }
 
 TEST_CASE("a cut-off owner and its successor: no window is over the limit",
           "[tenancy]")
 {
-    CHECK(static_cast<double>(grants_around_a_cut(broken::nothing)) <=
-          most_tolerated(usual_limit));
+    CHECK(static_cast<double>(grants_around_a_cut(fault::nothing)) <=
+          max_tolerated(usual_limit));
     // The check catches either part left out.
-    CHECK(static_cast<double>(grants_around_a_cut(broken::freshness)) >
-          most_tolerated(usual_limit));
-    CHECK(static_cast<double>(grants_around_a_cut(broken::takeover)) >
-          most_tolerated(usual_limit));
+    CHECK(static_cast<double>(grants_around_a_cut(fault::freshness)) >
+          max_tolerated(usual_limit));
+    CHECK(static_cast<double>(grants_around_a_cut(fault::takeover)) >
+          max_tolerated(usual_limit));
 }
 
 TEST_CASE("a list that was missed has had its owners", "[tenancy]")
 {
     // Both VMs have all of the limit in turn, and neither hears of the other.
-    const auto play = [](broken what) {
-        fleet all(2, what);
+    const auto play = [](fault what) {
+        owner_fleet all(2, what);
         all.toggle_member(0);
         all.hear(all.vm(1));
         all.hear(all.vm(0));
@@ -260,14 +259,14 @@
         }
         return static_cast<double>(all.most_granted());
     };
-    CHECK(play(broken::nothing) <= most_granted_of(usual_limit));
-    CHECK(play(broken::lineage) > most_tolerated(usual_limit));
+    CHECK(play(fault::nothing) <= max_granted(usual_limit));
+    CHECK(play(fault::lineage) > max_tolerated(usual_limit));
 }
 
 TEST_CASE("a restart just after a change of owners", "[tenancy]")
 {
-    const auto play = [](broken what) {
-        fleet all(2, what);
+    const auto play = [](fault what) {
+        owner_fleet all(2, what);
         all.toggle_member(0);
         all.hear(all.vm(1));
         all.restart(all.vm(1), true);
@@ -280,16 +279,16 @@
         }
         return static_cast<double>(all.most_granted());
     };
-    CHECK(play(broken::nothing) <= most_granted_of(usual_limit));
-    CHECK(play(broken::settling) > most_tolerated(usual_limit));
+    CHECK(play(fault::nothing) <= max_granted(usual_limit));
+    CHECK(play(fault::settling) > max_tolerated(usual_limit));
 }
 
 TEST_CASE("places of an owner that restarts are void", "[tenancy]")
 {
-    const auto play = [](broken what) {
-        fleet all(1, what);
+    const auto play = [](fault what) {
+        owner_fleet all(1, what);
         auto question = all.question(true);
-        question.m_patience_ms = longest_wait_ms;
+        question.m_queue_timeout_ms = max_queue_timeout_ms;
         for (int tick = 0; tick < 100; ++tick)
         {
             all.hear(all.vm(0));
@@ -300,8 +299,8 @@
         }
         return static_cast<double>(all.most_granted());
     };
-    CHECK(play(broken::nothing) <= most_granted_of(usual_limit));
-    CHECK(play(broken::places) > most_tolerated(usual_limit));
+    CHECK(play(fault::nothing) <= max_granted(usual_limit));
+    CHECK(play(fault::places) > max_tolerated(usual_limit));
 }
 
 TEST_CASE("no history of owners grants more than the limit",
@@ -309,7 +308,7 @@
 {
     const auto size = GENERATE(std::size_t{2}, std::size_t{3}, std::size_t{5});
     CHECK(rc::check("owners", [&] {
-        fleet all(size);
+        owner_fleet all(size);
         const auto steps = *rc::gen::inRange(0, 100);
         for (int i = 0; i < steps; ++i)
             play_step(all, size);
--- a/test/tenancy/test_limiter.cpp
+++ b/test/tenancy/test_limiter.cpp
@@ -57,22 +57,23 @@
             if (row.m_calls_left == 0 || now < row.m_next)
                 continue;
             const auto told =
-                counting.ask({some_workspace, limit, 1, row.m_id, !row.m_begun,
-                              false, patience_ms},
-                             1.0, instant{} + milliseconds(1), now);
+                counting.handle({some_workspace, limit, 1, row.m_id,
+                                 !row.m_begun, false, patience_ms},
+                                1.0, instant{} + milliseconds(1), now);
             if (told.m_outcome == quota_outcome::granted)
             {
                 out.m_begun += row.m_begun ? 0 : 1;
                 row.m_begun = true;
                 row.m_came_back = false;
-                row.m_next = now + between_calls + wait_of_place(told.m_place);
+                row.m_next =
+                    now + between_calls + wait_of_grant(told.m_packed_grant);
                 if (--row.m_calls_left == 0)
                     ++out.m_whole;
             }
             else if (!row.m_came_back)
             {
                 row.m_came_back = true;
-                row.m_next = now + milliseconds(told.m_retry_ms);
+                row.m_next = now + milliseconds(told.m_retry_after_ms);
             }
             else
             {
@@ -127,12 +128,12 @@
     limiter counting;
     const instant now = instant{} + std::chrono::seconds(100);
     const instant since = instant{} + std::chrono::seconds(1);
-    quota_question question{some_workspace, {10, 10}, 1, 0, false, false};
+    quota_request question{some_workspace, {10, 10}, 1, 0, false, false};
     int granted = 0;
-    quota_answer last;
+    quota_reply last;
     while (true)
     {
-        const auto told = counting.ask(question, 1.0, since, now);
+        const auto told = counting.handle(question, 1.0, since, now);
         if (told.m_outcome != quota_outcome::granted)
             break;
         last = told;
@@ -140,18 +141,18 @@
     }
     // Of a window's 82.5 a quarter second holds 32.5 and 2.5.
     CHECK(granted == 35);
-    question.m_returned = true;
-    question.m_place = last.m_place;
-    (void)counting.ask(question, 1.0, since, now);
-    question.m_returned = false;
-    question.m_place = 0;
-    CHECK(counting.ask(question, 1.0, since, now).m_outcome ==
+    question.m_is_return = true;
+    question.m_packed_grant = last.m_packed_grant;
+    (void)counting.handle(question, 1.0, since, now);
+    question.m_is_return = false;
+    question.m_packed_grant = 0;
+    CHECK(counting.handle(question, 1.0, since, now).m_outcome ==
           quota_outcome::granted);
-    const auto told = counting.ask(question, 1.0, since, now);
+    const auto told = counting.handle(question, 1.0, since, now);
     CHECK(told.m_outcome == quota_outcome::over_limit);
-    CHECK(told.m_retry_ms == 300);
+    CHECK(told.m_retry_after_ms == 300);
     // Who owns no share grants nothing.
-    CHECK(counting.ask(question, 0.0, since, now).m_outcome ==
+    CHECK(counting.handle(question, 0.0, since, now).m_outcome ==
           quota_outcome::not_owner);
     CHECK(counting.count(quota_outcome::granted) == 36);
 }
@@ -161,11 +162,11 @@
     const auto now = GENERATE(std::int64_t{0}, std::int64_t{2000},
                               std::int64_t{65535}, std::int64_t{1} << 33);
     const auto offset = GENERATE(0, 1, 100, -100);
-    const auto packed = pack_place(now + offset, milliseconds(550));
-    CHECK(wait_of_place(packed) == milliseconds(550));
-    CHECK(slot_of_place(packed, now) == now + offset);
-    CHECK(wait_of_place(pack_place(now, milliseconds(-3))) == milliseconds(0));
-    CHECK(wait_of_place(pack_place(now, milliseconds(100000))) ==
+    const auto packed = pack_grant(now + offset, milliseconds(550));
+    CHECK(wait_of_grant(packed) == milliseconds(550));
+    CHECK(slot_of_grant(packed, now) == now + offset);
+    CHECK(wait_of_grant(pack_grant(now, milliseconds(-3))) == milliseconds(0));
+    CHECK(wait_of_grant(pack_grant(now, milliseconds(100000))) ==
           milliseconds(65535));
 }
 
@@ -179,9 +180,9 @@
         while (ask(0).m_outcome == quota_outcome::granted)
         {}
     }
-    quota_answer ask(std::uint32_t wait_ms, std::uint64_t program = 1)
+    quota_reply ask(std::uint32_t wait_ms, std::uint64_t program = 1)
     {
-        return m_counting.ask(
+        return m_counting.handle(
             {some_workspace, m_limit, 1, program, false, false, wait_ms}, 1.0,
             instant{} + milliseconds(1), m_now);
     }
@@ -198,8 +199,8 @@
     full_limit full;
     const auto told = full.ask(600);
     CHECK(told.m_outcome == quota_outcome::granted);
-    CHECK(wait_of_place(told.m_place) > milliseconds(250));
-    CHECK(wait_of_place(told.m_place) < milliseconds(350));
+    CHECK(wait_of_grant(told.m_packed_grant) > milliseconds(250));
+    CHECK(wait_of_grant(told.m_packed_grant) < milliseconds(350));
     // It is the first in line: nobody who comes later goes before it.
     full.m_now += milliseconds(310);
     int granted = 0;
@@ -214,7 +215,7 @@
     full_limit full;
     const auto told = full.ask(100);
     REQUIRE(told.m_outcome == quota_outcome::over_limit);
-    full.m_now += milliseconds(told.m_retry_ms + 50);
+    full.m_now += milliseconds(told.m_retry_after_ms + 50);
     while (full.ask(0, 2).m_outcome == quota_outcome::granted)
     {}
     CHECK(full.ask(0).m_outcome == quota_outcome::granted);
@@ -264,11 +265,11 @@
              now < instant{} + std::chrono::milliseconds(104900);
              now += milliseconds(50))
         {
-            quota_question question{some_workspace, each.m_limit, 1, 0,
-                                    false,          false};
+            quota_request question{some_workspace, each.m_limit, 1, 0,
+                                   false,          false};
             while (granted < 100000 &&
-                   counting.ask(question, 1.0 / owners,
-                                instant{} + milliseconds(1), now)
+                   counting.handle(question, 1.0 / owners,
+                                   instant{} + milliseconds(1), now)
                            .m_outcome == quota_outcome::granted)
                 ++granted;
         }
@@ -285,9 +286,9 @@
     {
         const auto told = full.ask(UINT32_MAX);
         if (told.m_outcome == quota_outcome::granted)
-            CHECK(wait_of_place(told.m_place) <= milliseconds(5001));
+            CHECK(wait_of_grant(told.m_packed_grant) <= milliseconds(5001));
         else
-            CHECK(told.m_retry_ms <= 5000);
+            CHECK(told.m_retry_after_ms <= 5000);
     }
     CHECK(full.ask(UINT32_MAX).m_outcome == quota_outcome::over_limit);
 }
@@ -301,7 +302,7 @@
     full.m_limit = {0.001, 0};
     int granted = 0;
     const auto ask = [&] {
-        return full.m_counting.ask(
+        return full.m_counting.handle(
             {some_workspace, full.m_limit, 2, 3, false, false, 500}, 1.0,
             instant{} + milliseconds(1), full.m_now);
     };
@@ -320,7 +321,7 @@
     const request_limit limit{10, 10};
     instant now = instant{} + std::chrono::seconds(100);
     const auto begin = [&](std::uint64_t program) {
-        return counting.ask(
+        return counting.handle(
             {some_workspace, limit, 1, program, true, false, patience_ms}, 1.0,
             instant{} + milliseconds(1), now);
     };
@@ -328,12 +329,12 @@
     while (begin(next).m_outcome == quota_outcome::granted)
         ++next;
     const auto told = begin(next);
-    REQUIRE(told.m_retry_ms >= 300);
+    REQUIRE(told.m_retry_after_ms >= 300);
     // Programs under way do not go on, so there is room by and by; who comes
     // in between is not let past.
     const auto first = next;
     int went_past = 0;
-    const auto until = now + milliseconds(told.m_retry_ms);
+    const auto until = now + milliseconds(told.m_retry_after_ms);
     for (; now < until; now += milliseconds(20))
         went_past += begin(++next).m_outcome == quota_outcome::granted ? 1 : 0;
     CHECK(went_past == 0);
@@ -342,7 +343,7 @@
     {
         const auto again = begin(first);
         begun = again.m_outcome == quota_outcome::granted;
-        now += milliseconds(again.m_retry_ms);
+        now += milliseconds(again.m_retry_after_ms);
     }
     CHECK(begun);
 }
--- a/test/tenancy/test_workspaces.cpp
+++ b/test/tenancy/test_workspaces.cpp
@@ -25,7 +25,7 @@
         std::string_view m_key;
         std::string_view m_fault;
     };
-    const std::string longest(most_key_bytes, 'k');
+    const std::string longest(max_key_bytes, 'k');
     const std::string too_long = "Token " + longest + 'k';
     const std::string just_fits = "Token " + longest;
     const std::vector<sample> samples{
