--- a/include/pepperturn/tenancy/cold_allowance.hpp
+++ b/include/pepperturn/tenancy/cold_allowance.hpp
@@ -1,25 +1,26 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What a runner bears while it is cold, as a limit that storage VMs count.
+/// Request limit of a cold runner, counted by storage VMs over the whole fleet.
 ///
-/// Load pattern: a zone that comes back with all its runners cold, or a release
-/// that replaces many at once. Each VM by itself sends a cold runner next to
-/// nothing; all of them together send it what a warm one bears, and it falls
-/// over. A cold runner is therefore counted as a workspace is, by one owner,
-/// and nobody sends it a call without leave. A lost owner costs the use of the
-/// cold runners that it counts, which others' runners make good.
+/// Load pattern: an availability zone that returns with all its runners cold,
+/// or a release that replaces many runners at once. Each VM alone sends a cold
+/// runner very few calls, but all VMs together send it as many as a warm runner
+/// can serve, and it fails. A cold runner is therefore counted like a
+/// workspace, by a single owner, and no VM sends it a call without a grant. If
+/// an owner is lost, the cold runners that it counts receive no calls; other
+/// runners serve them.
 #pragma once
 
 #include "pepperturn/tenancy/limiter.hpp"
 
 namespace pepperturn {
 
-/// The operator's bound for one second.
+/// Requests that a cold runner may receive within any second.
 struct cold_runner_bound
 {
-    /// Requests a second that a cold runner bears; 0: any number.
+    /// Requests per second that a cold runner can serve; 0: unlimited.
     double m_per_s = 0;
-    /// Factor and addend by which the bound may be passed.
+    /// The rate may be exceeded up to m_per_s * m_excess + m_slack requests.
     double m_excess = 1;
     double m_slack = 0;
 
@@ -27,15 +28,15 @@
                            const cold_runner_bound&) = default;
 };
 
-/// A limit by which no second holds more than \p bound allows, if each grant is
-/// used within \ref longest_cold_use.
+/// Returns a limit under which no second exceeds \p bound, provided that each
+/// grant is used within \ref max_cold_grant_age.
 [[nodiscard]] request_limit cold_runner_limit(const cold_runner_bound& bound);
 
-/// A grant that was not used by then is void: calls that were granted apart
-/// would arrive together.
+/// Grants that are unused for longer than this are void. Otherwise, calls that
+/// were granted at different times could arrive together.
 constexpr milliseconds max_cold_grant_age{150};
 
-/// Asks for leave to send one call to a cold runner.
+/// Builds the request for a grant to send one call to a cold runner.
 /// \param incarnation of the runner
 [[nodiscard]] quota_request cold_runner_request(std::uint64_t incarnation,
                                                 const cold_runner_bound& bound);
--- a/include/pepperturn/tenancy/freshness.hpp
+++ b/include/pepperturn/tenancy/freshness.hpp
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// How long a VM may act on what it knows of the platform's store.
+/// How long a VM may act on its copy of the configuration and of the views.
 ///
-/// Load pattern: VMs that are cut off, frozen or slow go on serving callers
-/// while keys are taken away and replica sets change elsewhere. Knowing a
-/// configuration is not enough: what counts is since when nobody has told
-/// that it is still the newest.
+/// Load pattern: VMs that are partitioned, frozen or slow keep serving callers
+/// while keys are revoked and replica sets change elsewhere. Having received a
+/// configuration is not enough: what matters is when it was last confirmed to
+/// be the newest.
 ///
-/// An instant here is a lower bound: at that time, by the clock of this VM,
-/// nothing newer stood in the store. It is only ever taken from
-///  - an answer of the store that may not be stale, at the time its question
-///    was *sent* (the answer may have been held up, the question cannot have
-///    been answered before it was asked);
-///  - an answer of another VM, at the time its question was sent less the age
-///    that the answer names: the other VM counted that age when it answered,
-///    so later than the question was sent.
-/// Both err on the old side only, through any number of VMs, and also in a
-/// circle. Notices without a question are not used: one that a cut held back
-/// would seem fresh when it comes.
+/// Each instant here is a lower bound: at that time, by this VM's clock, the
+/// store held nothing newer. It is only derived from
+///  - a linearizable response of the store, at the time its request was *sent*
+///    (the response may have been delayed, but cannot precede the request);
+///  - a reply of another VM, at the time the request was sent minus the age in
+///    the reply. The other VM computed that age when it replied, which is after
+///    the request was sent.
+///
+/// Both can only overestimate the age, through any number of VMs and also
+/// around a cycle. Unsolicited notifications are not used: one that a partition
+/// delayed would appear fresh on arrival.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -31,10 +31,10 @@
 
 struct freshness_bound
 {
-    /// The configuration known here was the newest at this time; the epoch of
-    /// the clock: never heard.
+    /// The local configuration was the newest at this time; the clock's epoch:
+    /// never confirmed.
     instant m_config_confirmed_at{};
-    /// The views of all replica sets known here were the newest at this time.
+    /// The local views of all replica sets were the newest at this time.
     instant m_views_confirmed_at{};
 
     friend bool operator==(const freshness_bound&,
@@ -48,12 +48,12 @@
             std::max(left.m_views_confirmed_at, right.m_views_confirmed_at)};
 }
 
-/// What one VM tells another of its freshness.
+/// Freshness that one VM reports to another, as ages.
 struct freshness_message
 {
-    /// Of the configuration that was the newest.
+    /// Revision of the configuration that was confirmed.
     std::uint64_t m_config_revision = 0;
-    /// Milliseconds; the largest number: never heard.
+    /// In milliseconds; the maximum value: never confirmed.
     std::uint32_t m_config_age_ms = UINT32_MAX;
     std::uint32_t m_views_age_ms = UINT32_MAX;
 
@@ -61,46 +61,47 @@
                            const freshness_message&) = default;
 };
 
-/// \p bound as it is told now.
+/// Converts \p bound to ages at \p now.
 [[nodiscard]] freshness_message report_freshness(const freshness_bound& bound,
                                                  std::uint64_t config_revision,
                                                  instant now);
 
-/// What an answer says here.
-/// \param asked when its question was sent
+/// Derives a bound from the reply of another VM.
+/// \param sent_at when the request was sent
 /// \param known_revision of the configuration in force here
-/// \param hears_views all that the other VM knows of views comes here first
-[[nodiscard]] freshness_bound derive_freshness(const freshness_message& told,
-                                               instant asked,
-                                               std::uint64_t known_revision,
-                                               bool hears_views);
+/// \param receives_views whether this VM receives all view updates that the
+/// other VM has, before its reply
+[[nodiscard]] freshness_bound
+derive_freshness(const freshness_message& reported, instant sent_at,
+                 std::uint64_t known_revision, bool receives_views);
 
-/// Up to which age of what it knows a VM acts.
+/// Maximum ages of the configuration and views that a VM may act on.
 struct staleness_limits
 {
-    /// A key that was taken away may be used for this long everywhere.
+    /// Time within which a revoked key is rejected everywhere.
     milliseconds m_max_revoke_delay{5000};
-    /// A new key is to be good after this long at VMs that hear the store.
+    /// Time within which a new key is accepted by VMs that can reach the store.
     milliseconds m_max_apply_delay{3000};
 
     friend bool operator==(const staleness_limits&,
                            const staleness_limits&) = default;
 };
 
-/// A keyed request may still be sent, and a limiter may grant: a tenth of the
-/// bound is left for the way to the runner.
+/// Maximum age at which a request with a key may be sent and a limiter may
+/// grant. A tenth of the revocation delay is left for the way to the runner.
 [[nodiscard]] milliseconds max_use_age(const staleness_limits& limits);
 
-/// For how much longer what was known at \p at may be acted upon; empty: it may
-/// not.
+/// How much longer a VM may act on what was confirmed at \p at; empty: no
+/// longer.
 [[nodiscard]] std::optional<milliseconds>
 remaining_use_time(const staleness_limits& limits, instant at, instant now);
 
-/// Who is not known may be told so, rather than to come back: the bound for
-/// new keys, less the time in which news come here.
+/// Maximum age at which an unknown key may be rejected, rather than answered
+/// with "retry later": the delay for new keys, less the time in which updates
+/// arrive.
 [[nodiscard]] milliseconds max_denial_age(const staleness_limits& limits);
 
-/// Time since \p at; the largest if it was never heard.
+/// Time since \p at; the maximum value if it was never confirmed.
 [[nodiscard]] milliseconds age_of(instant at, instant now);
 
 } // namespace pepperturn
--- a/include/pepperturn/tenancy/identity.hpp
+++ b/include/pepperturn/tenancy/identity.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Whose a request is, and whether this VM may say so.
+/// Determines the workspace of a request, and whether this VM's configuration
+/// is recent enough to decide.
 #pragma once
 
 #include "pepperturn/tenancy/freshness.hpp"
@@ -11,11 +12,11 @@
 enum class identity_verdict : std::uint8_t
 {
     known,
-    /// The credentials cannot be anybody's.
+    /// The credentials are malformed.
     malformed,
     /// No workspace has the key.
     unknown,
-    /// What this VM knows is too old: another VM may know better.
+    /// The configuration is too old to decide: another VM may have a newer one.
     uncertain
 };
 
@@ -24,19 +25,21 @@
 struct identity
 {
     identity_verdict m_verdict = identity_verdict::uncertain;
-    /// Of the directory; null unless known.
+    /// Points into the directory; null unless the verdict is `known`.
     const workspace* m_workspace = nullptr;
 
     friend bool operator==(const identity&, const identity&) = default;
 };
 
-/// \param config_age of the configuration that has the directory
+/// Looks up the workspace of \p given.
+/// \param config_age age of the configuration that contains the directory
 [[nodiscard]] identity identify(const workspace_directory& directory,
                                 const credentials& given,
                                 milliseconds config_age,
                                 const staleness_limits& limits);
 
-/// An id as it is kept for one workspace: ids of another one never meet it.
+/// Prefixes an id with its workspace, so that ids of different workspaces never
+/// collide.
 [[nodiscard]] std::string scoped_id(const workspace* owner,
                                     const std::string& id);
 
--- a/include/pepperturn/tenancy/limiter.hpp
+++ b/include/pepperturn/tenancy/limiter.hpp
@@ -2,18 +2,18 @@
 /// \file
 /// Counts the requests of workspaces against this VM's shares of their limits.
 ///
-/// Load pattern: a workspace that begins several times as many programs as
-/// its limit bears. Counting requests alone would let all of them begin and
-/// break each of them off half done. Here a program's first call is let in
-/// only if the window (\ref limit_window) will hold the calls that it is likely
-/// to make, beside those of the programs under way. Calls of programs under way
-/// are let in while there is any room; where there is none for a moment they
-/// take the next place that becomes free, which is told at once: the caller
-/// waits, nothing is held here.
+/// Load pattern: a workspace that starts several times as many programs as its
+/// limit can serve. If only requests were counted, all programs would start and
+/// all would be interrupted half-way. Here a program's first call is admitted
+/// only if the window (\ref limit_window) can hold the calls that it is
+/// expected to make, in addition to those of the active programs. Calls of
+/// active programs are admitted while there is any capacity. Where there is
+/// none at present, they get the next free slot, which is reported at once: the
+/// caller waits, nothing is queued here.
 ///
-/// Each VM counts its share of what the operator tolerates, so that all of
-/// them together never grant more. A VM that starts does not know what it has
-/// granted before and takes it to have been the most allowed.
+/// Each VM counts its share of what the operator tolerates, so that all VMs
+/// together never grant more. A VM that starts does not know its earlier grants
+/// and assumes that they were the maximum.
 #pragma once
 
 #include "pepperturn/tenancy/limit_owners.hpp"
@@ -25,48 +25,48 @@
 
 namespace pepperturn {
 
-/// What is asked of an owner.
+/// A request to an owner for a grant, or to take one back.
 struct quota_request
 {
     /// Hash of the workspace's name.
     std::uint64_t m_workspace = 0;
-    /// As the asking VM knows it.
+    /// As the requesting VM knows it.
     request_limit m_limit;
-    /// Of the configuration that says so.
+    /// Revision of the configuration that m_limit is from.
     std::uint64_t m_config_revision = 0;
-    /// Hash of the program's id; 0: of none.
+    /// Hash of the program's id; 0: no program.
     std::uint64_t m_program = 0;
-    /// It is the first call of a program.
+    /// Whether it is the first call of a program.
     bool m_begins_program = false;
-    /// A grant that was not used comes back; nothing is asked.
+    /// Returns an unused grant instead of requesting one.
     bool m_is_return = false;
-    /// Longest wait for room below the limit, in milliseconds.
+    /// Maximum wait for capacity below the limit, in milliseconds.
     std::uint32_t m_queue_timeout_ms = 0;
-    /// Of a grant that comes back: its \ref quota_answer::m_place.
+    /// The returned grant, as in \ref quota_reply::m_packed_grant.
     std::uint32_t m_packed_grant = 0;
-    /// Nothing is granted beyond the limit, and one owner has all of it: such
-    /// limits are small, and there are many of them.
+    /// Grants nothing above the limit, from a single owner: such limits are
+    /// small, and there are many of them.
     bool m_exact = false;
 
     friend bool operator==(const quota_request&,
                            const quota_request&) = default;
 };
 
-/// Among how many owners the limit is divided, where there are as many.
-[[nodiscard]] std::size_t owner_count_for(const quota_request& question);
+/// Number of owners that the limit is divided among, if there are as many
+/// members.
+[[nodiscard]] std::size_t owner_count_for(const quota_request& request);
 
-/// The question with a patience of \p longest at most: an owner grants no place
-/// in a time when another may grant the same.
+/// Caps the request's queue timeout at \p max: an owner must not grant a slot
+/// in a time when another owner may grant the same.
 [[nodiscard]] quota_request
-limit_queue_timeout(quota_request question,
-                    std::optional<milliseconds> longest);
+limit_queue_timeout(quota_request request, std::optional<milliseconds> max);
 
 enum class quota_outcome : std::uint8_t
 {
     granted,
-    /// The limit has nothing left for it.
+    /// No capacity is left below the limit.
     over_limit,
-    /// This VM owns no share, or what it knows is too old: another may.
+    /// This VM owns no share, or its views are too old: another VM may grant.
     not_owner
 };
 
@@ -75,48 +75,48 @@
 struct quota_reply
 {
     quota_outcome m_outcome = quota_outcome::not_owner;
-    /// Over the limit: when there is room again, in milliseconds.
+    /// Over the limit: when to retry, in milliseconds.
     std::uint32_t m_retry_after_ms = 0;
-    /// Granted: the place that it has (\ref pack_place).
+    /// Granted: the slot and the wait (\ref pack_grant).
     std::uint32_t m_packed_grant = 0;
 
     friend bool operator==(const quota_reply&, const quota_reply&) = default;
 };
 
-/// The place of a grant as it goes over the wire: its slot, and how long the
-/// request waits until then. Whoever gives it back names it, so that exactly
-/// this one is free again.
+/// Encodes a grant for the wire: its slot, and how long the request waits until
+/// then. A returned grant carries this value, so that exactly its slot is
+/// freed.
 [[nodiscard]] std::uint32_t pack_grant(std::int64_t slot, milliseconds wait);
 [[nodiscard]] milliseconds wait_of_grant(std::uint32_t packed);
-/// \param now a slot less than half an hour from it
+/// \param now a slot less than half an hour away from the grant's
 [[nodiscard]] std::int64_t slot_of_grant(std::uint32_t packed,
                                          std::int64_t now);
 
 struct limiter_settings
 {
-    /// Requests above the limit that counting over many VMs may let through,
-    /// nine tenths of what the operator allows for it (20): owners hold whole
-    /// requests, and a third of a small limit holds few. The rest is for what
-    /// is not counted here.
+    /// Requests above the limit that distributed counting may admit, nine
+    /// tenths of what the operator tolerates (20): owners grant whole requests,
+    /// and a third of a small limit holds few. The rest is for requests that
+    /// are not counted here.
     double m_slack = 18;
-    /// Share of the limit that is granted above it, three quarters of what
+    /// Fraction of the limit that is granted above it, three quarters of what
     /// the operator tolerates (a tenth), for the same reasons.
     double m_excess = 0.075;
-    /// Share of the window that programs may be expected to fill. More than
-    /// all of it: their calls can wait a little for room, and a program that
-    /// ends late is worth more than one that never began.
+    /// Fraction of the window that the expected calls of programs may fill.
+    /// Above 1: calls can wait a little for capacity, and a program that ends
+    /// late is worth more than one that was never started.
     double m_overcommit = 1.3;
-    /// Calls a second of a program while none has ended: a turn and a tool or
-    /// two within the second.
+    /// Assumed calls per second of a program before any program has ended: a
+    /// turn and a tool call or two within a second.
     double m_default_call_rate_per_s = 4;
-    /// Calls of a program while none has ended.
+    /// Assumed calls of a program before any program has ended.
     double m_default_calls = 16;
 
     friend bool operator==(const limiter_settings&,
                            const limiter_settings&) = default;
 };
 
-/// What is learnt of programs that have ended; fades.
+/// Totals over ended programs, with exponential decay.
 struct program_statistics
 {
     double m_programs = 0;
@@ -127,24 +127,25 @@
                            const program_statistics&) = default;
 };
 
-/// Instants at which calls to come are summed up: quarters of the window.
+/// Number of instants for which expected calls are summed: each quarter of the
+/// window.
 constexpr std::size_t forecast_horizons = 4;
 using call_forecast = std::array<double, forecast_horizons>;
 
-/// A program that has begun.
+/// A program that has started and not ended.
 struct active_program
 {
     std::uint32_t m_calls = 0;
     instant m_first_call_at{};
     instant m_last_call_at{};
-    /// One of its calls was refused: how it ends says nothing of others.
+    /// One of its calls was refused, so its length is not representative.
     bool m_had_refusal = false;
 
     friend bool operator==(const active_program&,
                            const active_program&) = default;
 };
 
-/// A place kept for a call that was refused and told when to come back.
+/// A slot reserved for the retry of a refused call.
 struct reserved_slot
 {
     std::uint64_t m_program = 0;
@@ -154,7 +155,7 @@
                            const reserved_slot&) = default;
 };
 
-/// A program that was not begun and told when to come back.
+/// A program that was not admitted and is expected to retry.
 struct deferred_program
 {
     std::uint64_t m_program = 0;
@@ -164,31 +165,31 @@
                            const deferred_program&) = default;
 };
 
-/// One workspace at one owner.
+/// State of one workspace at one owner.
 struct limiter_row
 {
     request_limit m_limit;
     std::uint64_t m_config_revision = 0;
     double m_share = 0;
-    /// Nobody else has granted this share since.
+    /// No other VM has granted this share since.
     instant m_granting_since{};
-    /// Grants from before this are not counted one by one.
+    /// Grants before this are not counted individually.
     instant m_counted_since{};
     instant m_last_request_at{};
     limit_window m_window;
-    /// In the order in which they were given.
+    /// Ordered by time of reservation.
     std::vector<reserved_slot> m_reserved;
-    /// In the order in which they asked first.
+    /// Ordered by first request.
     std::vector<deferred_program> m_deferred;
-    /// Programs under way, by the hash of their ids.
+    /// Active programs by the hash of their ids.
     std::unordered_map<std::uint64_t, active_program> m_programs;
     program_statistics m_statistics;
-    /// Calls to come of the programs under way, and when it was summed up.
+    /// Expected calls of the active programs, and when they were summed.
     call_forecast m_forecast{};
     instant m_forecast_at{};
-    /// When a call of a program under way was last refused.
+    /// When a call of an active program was last refused.
     instant m_last_refusal_at{};
-    /// When programs were last looked through for ended ones.
+    /// When ended programs were last removed.
     instant m_last_sweep_at{};
     /// For metrics.
     workspace_counts m_counts;
@@ -196,24 +197,24 @@
     friend bool operator==(const limiter_row&, const limiter_row&) = default;
 };
 
-/// What one window may hold at an owner of \p share.
+/// Returns the maximum grants in one window for an owner of \p share.
 [[nodiscard]] double max_in_window(const request_limit& limit, double share,
                                    const limiter_settings& settings);
 
-/// Counts one question.
+/// Handles one request for a grant.
 /// \param share of the limit that this VM may grant, above 0
-/// \param since nobody else grants this share from then on
-/// \param all what is learnt of the programs of all workspaces
+/// \param since only this VM has granted this share from then on
+/// \param all statistics over the programs of all workspaces
 [[nodiscard]] quota_reply
-admit_request(limiter_row& row, const quota_request& question, double share,
+admit_request(limiter_row& row, const quota_request& request, double share,
               instant since, instant now, const limiter_settings& settings,
               program_statistics& all);
 
-/// Puts a grant back that was not used.
-void return_grant(limiter_row& row, const quota_request& question, instant now);
+/// Takes back an unused grant.
+void return_grant(limiter_row& row, const quota_request& request, instant now);
 
-/// Calls of one program, and calls a second, as seen of this workspace and,
-/// while that is little, of all of them.
+/// Expected calls and call rate of one program: from this workspace's
+/// statistics and, while these are few, from those of all workspaces.
 struct program_estimate
 {
     double m_calls = 0;
@@ -223,21 +224,22 @@
 estimate_program(const program_statistics& own, const program_statistics& all,
                  const limiter_settings& settings);
 
-/// All workspaces at one owner, bounded in number.
+/// Limits of all workspaces at one owner; evicts idle rows above a bound.
 class limiter
 {
 public:
     explicit limiter(limiter_settings settings = {}) : m_settings(settings) {}
 
-    /// \param since this VM grants nothing from before
-    [[nodiscard]] quota_reply handle(const quota_request& question,
-                                     double share, instant since, instant now);
+    /// Handles a request for a grant or a returned grant.
+    /// \param since only this VM has granted this share from then on
+    [[nodiscard]] quota_reply handle(const quota_request& request, double share,
+                                     instant since, instant now);
     [[nodiscard]] std::size_t size() const
     {
         return m_rows.size();
     }
     [[nodiscard]] std::uint64_t count(quota_outcome outcome) const;
-    /// Each workspace's counts, by the hash of its name.
+    /// Returns each workspace's counts by the hash of its name.
     [[nodiscard]] std::vector<std::pair<std::uint64_t, workspace_counts>>
     counts() const;
 
--- a/include/pepperturn/tenancy/workspace_counts.hpp
+++ b/include/pepperturn/tenancy/workspace_counts.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What became of each workspace's requests, for metrics.
+/// Counts the outcomes of each workspace's requests, for metrics.
 ///
 /// A limit is shared by all callers of a workspace, and engines by all
-/// workspaces: an operator has to see who is refused and whose burst it is. A
-/// fleet may have thousands of workspaces, so only the busiest are written by
-/// name, the others as one.
+/// workspaces: operators need to see which workspace is refused and which one
+/// causes the load. A fleet may have thousands of workspaces, so only the
+/// busiest are reported by name, and the others as one sum.
 #pragma once
 
 #include <array>
@@ -19,21 +19,21 @@
 enum class workspace_event : std::uint8_t
 {
     asked,
-    /// At an edge VM: answered with success. At an owner: granted.
+    /// At an edge VM: succeeded. At an owner: granted.
     served,
-    /// Served, but later than its route's target.
+    /// Served, but later than its route's target latency.
     late,
-    /// Waited for a place below the limit.
+    /// Waited for capacity below the limit.
     waited,
-    /// The limit bore no further program.
+    /// The limit had no capacity for another program.
     refused_first_call,
-    /// The limit had no room for a call of a program under way.
+    /// The limit had no capacity for a call of an active program.
     refused_call,
-    /// Nobody could count the limit.
+    /// No owner was available to count the limit.
     refused_uncounted,
-    /// Not run for another reason.
+    /// Not run for any other reason.
     refused_otherwise,
-    /// Any other end without success.
+    /// Any other failure.
     failed
 };
 constexpr std::size_t workspace_event_count = 9;
@@ -65,15 +65,17 @@
     friend bool operator==(const named_counts&, const named_counts&) = default;
 };
 
-/// Workspaces that are written by name: as many as one looks through.
+/// Maximum number of workspaces reported by name: as many as a person can read
+/// through.
 constexpr std::size_t max_named_workspaces = 100;
 
-/// One line `workspace_NAME_EVENT value` for each count above zero, those that
-/// asked most first; all beyond \ref workspaces_named as `other`. Characters
-/// that do not belong into a metric's name become `_`.
+/// Formats one line `workspace_NAME_EVENT value` for each count above zero, the
+/// workspaces with the most requests first; all beyond \ref
+/// max_named_workspaces are summed as `other`. Characters that are not allowed
+/// in a metric name become `_`.
 [[nodiscard]] std::string text_of(std::vector<named_counts> rows);
 
-/// Counts by name, bounded in number: names beyond that count as `other`.
+/// Counts by name; names beyond a bound are counted as `other`.
 class workspace_totals
 {
 public:
--- a/include/pepperturn/tenancy/workspaces.hpp
+++ b/include/pepperturn/tenancy/workspaces.hpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Workspaces of a configuration and the API keys that stand for them.
+/// Workspaces of a configuration and their API keys.
 ///
-/// Keys are secrets: only their digests are kept here, and they are compared
-/// as digests, so that neither memory nor the time of a look-up tells a key.
+/// Keys are secrets: only their digests are stored and compared, so that
+/// neither memory nor the time of a look-up reveals a key.
 #pragma once
 
 #include <array>
@@ -17,12 +17,12 @@
 
 namespace pepperturn {
 
-/// How many requests of a workspace may run, over all VMs.
+/// Rate limit of a workspace's requests, over all VMs.
 struct request_limit
 {
-    /// Requests a second; 0: no limit.
+    /// Requests per second; 0: unlimited.
     double m_rate_per_s = 0;
-    /// Requests above that at once.
+    /// Requests above the rate that may arrive at once.
     double m_burst = 0;
 
     friend bool operator==(const request_limit&,
@@ -32,11 +32,11 @@
 struct workspace
 {
     std::string m_name;
-    /// Goes before the priority of a route; 0 is the most urgent.
+    /// Overrides the priority of a route; 0 is the most urgent.
     std::optional<std::uint32_t> m_priority;
     request_limit m_limit;
-    /// Its requests are served, and turns kept, in these regions only; empty:
-    /// in any.
+    /// Regions in which its requests are served and its turns are stored;
+    /// empty: any.
     std::set<std::string> m_regions = {};
 
     friend bool operator==(const workspace&, const workspace&) = default;
@@ -58,34 +58,34 @@
 };
 
 /// Adds a workspace with its keys.
-/// \returns an empty text, or why the whole configuration is unusable: a name
-/// that is there already, a key of another workspace, no name, a limit that
-/// is no number or negative
+/// \returns an empty string, or why the whole configuration is invalid: a
+/// missing or duplicate name, a key of another workspace, an empty key, or a
+/// limit that is out of range
 [[nodiscard]] std::string add_workspace(workspace_directory& directory,
                                         workspace row,
                                         const std::vector<std::string>& keys);
 
-/// The workspace that \p key stands for; null: no workspace has it.
-[[nodiscard]] const workspace* find_workspace(const workspace_directory& in,
-                                              std::string_view key);
+/// Returns the workspace of \p key; null if no workspace has it.
+[[nodiscard]] const workspace*
+find_workspace(const workspace_directory& directory, std::string_view key);
 
-/// The credentials of a request.
+/// Credentials of a request.
 struct credentials
 {
-    /// Empty if there is a fault.
+    /// Empty if m_error is set.
     std::string m_key;
-    /// Why they cannot be anybody's; empty: they may be.
+    /// Why the credentials are malformed; empty if they are well-formed.
     std::string_view m_error;
 
     friend bool operator==(const credentials&, const credentials&) = default;
 };
 
-/// Longest key that is looked at, in bytes; longer than any in use.
+/// Maximum key length in bytes; longer than any key in use.
 constexpr std::size_t max_key_bytes = 512;
 
-/// Reads SCHEME KEY.
-/// \param values of each Authorization header of the request
-/// \param scheme in any case
+/// Parses `SCHEME KEY`.
+/// \param values of all Authorization headers of the request
+/// \param scheme expected scheme, case-insensitive
 [[nodiscard]] credentials
 read_credentials(const std::vector<std::string_view>& values,
                  std::string_view scheme);
--- a/src/tenancy/cold_allowance.cpp
+++ b/src/tenancy/cold_allowance.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-/// Windows are counted in steps of a quarter second: a second, with what a
-/// grant may be late and slots are rounded by, lies in five of them.
+/// Windows are counted in steps of a quarter second. One second, extended by
+/// the age of a grant and by the rounding of slots, lies within five of them.
 constexpr std::int64_t steps_in_second = 5;
 constexpr double steps_in_limit_span = 20;
-/// Of the bound, what may come at once.
+/// Share of the bound that may be granted at once.
 constexpr double share_at_once = 0.3;
-/// Tells runners from workspaces, whose names are hashed as well.
+/// Separates the hashes of runners from those of workspace names.
 constexpr std::uint64_t cold_salt = 0x636f6c64;
 
 } // namespace
 
 request_limit cold_runner_limit(const cold_runner_bound& bound)
 {
-    const double most =
+    const double max_per_s =
         std::max(bound.m_per_s * bound.m_excess + bound.m_slack, 0.0);
-    const double at_rate = (1 - share_at_once) * most;
+    const double at_rate = (1 - share_at_once) * max_per_s;
     const double span_s =
         to_seconds(limit_span) * steps_in_second / steps_in_limit_span;
-    return {at_rate / span_s, share_at_once * most};
+    return {at_rate / span_s, share_at_once * max_per_s};
 }
 
 quota_request cold_runner_request(std::uint64_t incarnation,
--- a/src/tenancy/freshness.cpp
+++ b/src/tenancy/freshness.cpp
@@ -7,20 +7,20 @@
 
 constexpr std::uint32_t never = UINT32_MAX;
 
-std::uint32_t told_age(instant at, instant now)
+std::uint32_t to_age_ms(instant at, instant now)
 {
     if (at == instant{})
         return never;
-    // Rounded up: an age must not be told too small.
+    // Rounded up: an age must never be reported too small.
     const auto age = elapsed(at, now).count() + 1;
     return age >= never ? never - 1 : static_cast<std::uint32_t>(age);
 }
 
-instant told_at(std::uint32_t age_ms, instant asked)
+instant from_age_ms(std::uint32_t age_ms, instant sent_at)
 {
     if (age_ms == never)
         return instant{};
-    return std::max(instant{}, asked - milliseconds(age_ms));
+    return std::max(instant{}, sent_at - milliseconds(age_ms));
 }
 
 } // namespace
@@ -28,19 +28,22 @@
 freshness_message report_freshness(const freshness_bound& bound,
                                    std::uint64_t config_revision, instant now)
 {
-    return {config_revision, told_age(bound.m_config_confirmed_at, now),
-            told_age(bound.m_views_confirmed_at, now)};
+    return {config_revision, to_age_ms(bound.m_config_confirmed_at, now),
+            to_age_ms(bound.m_views_confirmed_at, now)};
 }
 
-freshness_bound derive_freshness(const freshness_message& told, instant asked,
-                                 std::uint64_t known_revision, bool hears_views)
+freshness_bound derive_freshness(const freshness_message& reported,
+                                 instant sent_at, std::uint64_t known_revision,
+                                 bool receives_views)
 {
     freshness_bound out;
-    // A newer one than is in force here says that this VM is behind.
-    if (told.m_config_revision <= known_revision)
-        out.m_config_confirmed_at = told_at(told.m_config_age_ms, asked);
-    if (hears_views)
-        out.m_views_confirmed_at = told_at(told.m_views_age_ms, asked);
+    // A newer revision than the local one shows that this VM is behind.
+    if (reported.m_config_revision <= known_revision)
+        out.m_config_confirmed_at =
+            from_age_ms(reported.m_config_age_ms, sent_at);
+    if (receives_views)
+        out.m_views_confirmed_at =
+            from_age_ms(reported.m_views_age_ms, sent_at);
     return out;
 }
 
@@ -54,10 +57,10 @@
                                                instant at, instant now)
 {
     const auto age = age_of(at, now);
-    const auto longest = max_use_age(limits);
-    if (age > longest)
+    const auto max_age = max_use_age(limits);
+    if (age > max_age)
         return std::nullopt;
-    return longest - age;
+    return max_age - age;
 }
 
 milliseconds max_denial_age(const staleness_limits& limits)
--- a/src/tenancy/identity.cpp
+++ b/src/tenancy/identity.cpp
@@ -37,7 +37,8 @@
 {
     if (owner == nullptr || id.empty())
         return id;
-    // No header carries a line feed, so that no two pairs read alike.
+    // No header value contains a line feed, so different pairs never give the
+    // same id.
     return owner->m_name + '\n' + id;
 }
 
--- a/src/tenancy/limit_window.cpp
+++ b/src/tenancy/limit_window.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-/// Limits that change more often than this within a window are taken together
-/// at their lowest.
-constexpr std::size_t most_bounds = 8;
+/// If a limit changes more often than this within a window, the newest bounds
+/// are merged to their minimum.
+constexpr std::size_t max_bounds = 8;
 constexpr std::int64_t steps_in_window = slots_in_window / slots_in_step;
-/// Sums of fractions come out a little beside whole numbers.
-constexpr double rounding = 1e-3;
+/// Tolerance for rounding errors in sums of fractions.
+constexpr double rounding_tolerance = 1e-3;
 
 std::size_t index_of(std::int64_t slot)
 {
     return static_cast<std::size_t>(slot) % limit_window::ring_size;
 }
 
-/// The oldest slot that a window up to now reaches: slots are counted whole,
-/// so one more than the window is long.
+/// The oldest slot of a window that ends now: slots are counted whole, so it is
+/// one slot longer than the nominal window.
 std::int64_t oldest_slot(const limit_window& window)
 {
     return window.m_current_slot - slots_in_window;
 }
 
-/// Sums of grants from the oldest slot on, so that any span is one difference.
-class running_sums
+/// Prefix sums of grants from the oldest slot on: the sum over any span is one
+/// difference.
+class prefix_sums
 {
 public:
-    explicit running_sums(const limit_window& window)
+    explicit prefix_sums(const limit_window& window)
         : m_first(oldest_slot(window))
     {
         const auto last =
@@ -44,7 +45,7 @@
         m_last = last;
     }
 
-    /// Grants in the slots \p from to \p until, both included.
+    /// Returns the grants in the slots \p from to \p until, both inclusive.
     [[nodiscard]] double between(std::int64_t from, std::int64_t until) const
     {
         return up_to(until) - up_to(from - 1);
@@ -64,18 +65,19 @@
     std::array<double, limit_window::ring_size> m_sums{};
 };
 
-/// The span of \p steps that ends with \p end may hold one more.
-bool has_room(const limit_window& window, const running_sums& sums,
-              std::int64_t end, std::int64_t steps)
+/// Returns whether the span of \p steps that ends with \p end can hold one more
+/// grant.
+bool span_has_capacity(const limit_window& window, const prefix_sums& sums,
+                       std::int64_t end, std::int64_t steps)
 {
     const auto begin = end - steps * slots_in_step;
-    double most = 0;
+    double max_grants = 0;
     for (auto row = window.m_bounds.rbegin(); row != window.m_bounds.rend();
          ++row)
     {
-        most = std::max(most, max_in_span(*row, steps));
+        max_grants = std::max(max_grants, max_in_span(*row, steps));
         const auto from = std::max(begin, row->m_from_slot);
-        if (sums.between(from, end) + 1 > most + rounding)
+        if (sums.between(from, end) + 1 > max_grants + rounding_tolerance)
             return false;
         if (row->m_from_slot <= begin)
             break;
@@ -83,8 +85,8 @@
     return true;
 }
 
-bool has_room_at(const limit_window& window, const running_sums& sums,
-                 std::int64_t slot)
+bool slot_has_capacity(const limit_window& window, const prefix_sums& sums,
+                       std::int64_t slot)
 {
     for (std::int64_t steps = 1; steps <= steps_in_window; ++steps)
     {
@@ -92,7 +94,7 @@
                                      slot + steps * slots_in_step);
         for (auto end = slot; end <= last; ++end)
         {
-            if (!has_room(window, sums, end, steps))
+            if (!span_has_capacity(window, sums, end, steps))
                 return false;
         }
     }
@@ -122,7 +124,7 @@
 {
     if (now <= window.m_current_slot)
         return;
-    // What leaves the window is cleared, for the ring to be used anew.
+    // Slots that leave the window are cleared for reuse by the ring.
     const auto first = oldest_slot(window);
     const auto last =
         std::min(now - slots_in_window,
@@ -136,31 +138,31 @@
         bounds.erase(bounds.begin());
 }
 
-void set_window_bound(limit_window& window, double most, double at_once)
+void set_window_bound(limit_window& window, double max_grants, double at_once)
 {
     auto& bounds = window.m_bounds;
     if (bounds.empty())
-        bounds.push_back({oldest_slot(window), most, at_once});
+        bounds.push_back({oldest_slot(window), max_grants, at_once});
     auto& newest = bounds.back();
-    if (newest.m_max == most && newest.m_max_at_once == at_once)
+    if (newest.m_max == max_grants && newest.m_max_at_once == at_once)
         return;
-    // Within one slot grants before and after a change are not told apart: all
-    // of them count below the new bound.
-    if (bounds.size() < most_bounds)
-        bounds.push_back({window.m_current_slot, most, at_once});
+    // Grants before and after a change within one slot cannot be distinguished:
+    // all of them count against the new bound.
+    if (bounds.size() < max_bounds)
+        bounds.push_back({window.m_current_slot, max_grants, at_once});
     else
-        newest = {newest.m_from_slot, std::min(newest.m_max, most),
+        newest = {newest.m_from_slot, std::min(newest.m_max, max_grants),
                   std::min(newest.m_max_at_once, at_once)};
 }
 
-void scale_window(limit_window& window, double part)
+void scale_window(limit_window& window, double factor)
 {
     for (auto slot = oldest_slot(window); slot <= window.m_current_slot; ++slot)
-        window.m_counts.at(index_of(slot)) *= static_cast<float>(part);
+        window.m_counts.at(index_of(slot)) *= static_cast<float>(factor);
     for (auto& row : window.m_bounds)
     {
-        row.m_max *= part;
-        row.m_max_at_once *= part;
+        row.m_max *= factor;
+        row.m_max_at_once *= factor;
     }
 }
 
@@ -168,10 +170,10 @@
                                            std::int64_t from,
                                            std::int64_t until)
 {
-    const running_sums sums(window);
+    const prefix_sums sums(window);
     for (auto slot = from; slot <= until; ++slot)
     {
-        if (has_room_at(window, sums, slot))
+        if (slot_has_capacity(window, sums, slot))
             return slot;
     }
     return std::nullopt;
@@ -211,14 +213,14 @@
 
 double count_recent_grants(const limit_window& window, std::int64_t slots)
 {
-    const running_sums sums(window);
+    const prefix_sums sums(window);
     return sums.between(window.m_current_slot - slots,
                         window.m_last_granted_slot);
 }
 
 double count_future_grants(const limit_window& window)
 {
-    const running_sums sums(window);
+    const prefix_sums sums(window);
     return sums.between(window.m_current_slot + 1, window.m_last_granted_slot);
 }
 
--- a/src/tenancy/workspace_counts.cpp
+++ b/src/tenancy/workspace_counts.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr const char* others_name = "other";
-/// More than the largest fleet has; names of workspaces that are gone stay.
-constexpr std::size_t most_names = 4096;
+/// More than the largest fleet has; names of removed workspaces are kept.
+constexpr std::size_t max_names = 4096;
 
 std::uint64_t asked(const named_counts& row)
 {
@@ -107,7 +107,7 @@
     const auto found = m_rows.find(name);
     if (found != m_rows.end())
         return found->second;
-    return m_rows[m_rows.size() < most_names ? name : others_name];
+    return m_rows[m_rows.size() < max_names ? name : others_name];
 }
 
 std::string workspace_totals::text() const
--- a/src/tenancy/workspaces.cpp
+++ b/src/tenancy/workspaces.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// More than any fleet serves; beyond, a limit is taken for a mistake.
-constexpr double most_per_s = 1e9;
+/// More than any fleet can serve; a higher limit is treated as a mistake.
+constexpr double max_rate_per_s = 1e9;
 
-bool is_limit(double value)
+bool is_valid_limit(double value)
 {
-    return std::isfinite(value) && value >= 0 && value <= most_per_s;
+    return std::isfinite(value) && value >= 0 && value <= max_rate_per_s;
 }
 
 bool is_blank(char c)
@@ -23,7 +23,7 @@
     return c == ' ' || c == '\t';
 }
 
-/// Printable ASCII without blanks, as in the grammar of credentials.
+/// Printable ASCII without blanks, as the grammar of credentials requires.
 bool is_key_character(char c)
 {
     return c > ' ' && c <= '~';
@@ -43,13 +43,14 @@
                           const std::vector<std::string>& keys)
 {
     if (row.m_name.empty())
-        return "a workspace without a name";
-    if (!is_limit(row.m_limit.m_rate_per_s) || !is_limit(row.m_limit.m_burst))
+        return "workspace without a name";
+    if (!is_valid_limit(row.m_limit.m_rate_per_s) ||
+        !is_valid_limit(row.m_limit.m_burst))
         return "workspace " + row.m_name + ": its limit is out of range";
     for (const auto& other : directory.m_workspaces)
     {
         if (other.m_name == row.m_name)
-            return "workspace " + row.m_name + " stands twice";
+            return "workspace " + row.m_name + " is listed twice";
     }
     const auto index = directory.m_workspaces.size();
     for (const auto& key : keys)
@@ -58,7 +59,7 @@
             return "workspace " + row.m_name + " has an empty key";
         const auto [at, is_new] =
             directory.m_keys.emplace(digest_of(key), index);
-        // The key itself is not named: reasons are logged.
+        // The key itself is left out because the reason is logged.
         if (!is_new && at->second != index)
             return "workspace " + row.m_name + " has a key of " +
                    directory.m_workspaces[at->second].m_name;
@@ -67,11 +68,13 @@
     return {};
 }
 
-const workspace* find_workspace(const workspace_directory& in,
+const workspace* find_workspace(const workspace_directory& directory,
                                 std::string_view key)
 {
-    const auto found = in.m_keys.find(digest_of(key));
-    return found == in.m_keys.end() ? nullptr : &in.m_workspaces[found->second];
+    const auto found = directory.m_keys.find(digest_of(key));
+    return found == directory.m_keys.end()
+               ? nullptr
+               : &directory.m_workspaces[found->second];
 }
 
 credentials read_credentials(const std::vector<std::string_view>& values,
