--- a/test/tenancy/owner_fleet.hpp
+++ b/test/tenancy/owner_fleet.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Owners of a limit on the virtual clock: what they know of each other, what
-/// they grant, and what a test breaks on purpose.
+/// Owners of a limit on a virtual clock: their views, their grants, and the
+/// faults that a test injects.
 #pragma once
 
 #include "pepperturn/cluster/owner_views.hpp"
@@ -19,20 +19,20 @@
 inline constexpr request_limit usual_limit{100, 100};
 inline constexpr milliseconds window{5000};
 
-/// A VM that hears the store knows of a change by then: what it believes of the
-/// configuration is no older.
+/// A VM that can reach the store learns of a configuration change within this
+/// time, so its configuration is never older.
 inline constexpr milliseconds config_known_within{2000};
-/// The longest wait for a place, as edge VMs ask for it.
+/// Maximum queue timeout that edge VMs request.
 inline constexpr std::uint32_t max_queue_timeout_ms = 1000;
-/// From then on after a change it binds.
+/// A change of the limit is enforced after this time.
 inline constexpr milliseconds config_applied_within{3000};
 
-/// The operator's rule for one window.
+/// Maximum requests in one window that the operator tolerates.
 inline double max_tolerated(const request_limit& limit)
 {
     return (limit.m_rate_per_s * to_seconds(window) + limit.m_burst) * 1.1 + 20;
 }
-/// What owners grant together in one window.
+/// Maximum grants of all owners together in one window.
 inline double max_granted(const request_limit& limit)
 {
     return max_in_window(limit, 1, {});
@@ -49,21 +49,21 @@
     instant m_views_at{};
 };
 
-/// What a test breaks on purpose.
+/// Faults that a test injects.
 enum class fault : std::uint8_t
 {
     nothing,
-    /// Owners grant however old what they know is.
+    /// Owners grant regardless of the age of their views.
     freshness,
-    /// New owners do not wait for the ones before.
+    /// New owners do not wait for the takeover time.
     takeover,
-    /// Owners that restart take it that nothing was granted before.
+    /// Restarted owners assume that nothing was granted before.
     memory,
-    /// What stood between two views that a VM has heard of is not asked for.
+    /// VMs do not request the views between two that they have received.
     lineage,
-    /// Callers wait for places at owners that have restarted.
-    places,
-    /// Views that a restarted VM finds on its disk count as old.
+    /// Callers keep waiting for slots granted by owners that have restarted.
+    pending_slots,
+    /// Views that a restarted VM reads from its disk are treated as settled.
     settling
 };
 
@@ -75,8 +75,8 @@
 class owner_fleet
 {
 public:
-    explicit owner_fleet(std::size_t size, fault what = fault::nothing)
-        : m_broken(what)
+    explicit owner_fleet(std::size_t size, fault injected = fault::nothing)
+        : m_fault(injected)
     {
         m_now = instant{} + std::chrono::seconds(100);
         for (std::size_t i = 0; i < size; ++i)
@@ -85,24 +85,24 @@
             m_view.m_members.push_back(full_member(m_vms.back().m_name));
         }
         for (auto& vm : m_vms)
-            hear(vm);
-        pass(std::chrono::seconds(20));
+            read_views(vm);
+        advance(std::chrono::seconds(20));
         for (auto& vm : m_vms)
-            hear(vm);
+            read_views(vm);
     }
 
     [[nodiscard]] owner_vm& vm(std::size_t index)
     {
         return m_vms[index % m_vms.size()];
     }
-    void pass(milliseconds span)
+    void advance(milliseconds span)
     {
         m_now += span;
     }
-    /// Its question to the store is answered at once.
-    void hear(owner_vm& vm)
+    /// Reads the views from the store; the response is immediate.
+    void read_views(owner_vm& vm)
     {
-        if (m_broken == fault::lineage)
+        if (m_fault == fault::lineage)
             vm.m_owners.m_views.clear();
         (void)apply_views(vm.m_owners, {m_view}, m_now, takeover_of());
         vm.m_views_at = m_now;
@@ -123,71 +123,76 @@
     void restart(owner_vm& vm, bool keeps_disk)
     {
         vm.m_limiter = limiter{};
-        // Whoever waits for a place there finds its connection gone.
-        if (m_broken != fault::places)
+        // Callers that wait for a granted slot lose their connection.
+        if (m_fault != fault::pending_slots)
             std::erase_if(m_grants, [&](const grant& each) {
                 return each.m_owner == &vm && each.m_at > m_now;
             });
         vm.m_started = m_now;
         vm.m_views_at = {};
-        const bool settled = m_broken == fault::settling ||
+        const bool settled = m_fault == fault::settling ||
                              is_settled(vm.m_owners, m_now, takeover_of());
         vm.m_owners = keeps_disk
                           ? restore_knowledge(vm.m_owners.m_views, settled,
                                               m_now, takeover_of())
                           : owner_knowledge{};
     }
-    /// \returns how many of \p count requests are granted
-    int ask(owner_vm& vm, int count, const request_limit& limit = usual_limit,
-            std::uint64_t revision = 1)
+    /// Sends \p count requests until one is refused.
+    /// \returns how many were granted
+    int request_grants(owner_vm& vm, int count,
+                       const request_limit& limit = usual_limit,
+                       std::uint64_t revision = 1)
     {
-        return ask(vm, count,
-                   {some_workspace, limit, revision, 0, false, false});
+        return request_grants(
+            vm, count, {some_workspace, limit, revision, 0, false, false});
     }
-    int ask(owner_vm& vm, int count, const quota_request& question)
+    int request_grants(owner_vm& vm, int count, const quota_request& request)
     {
-        const auto left =
-            m_broken == fault::freshness
+        const auto remaining =
+            m_fault == fault::freshness
                 ? milliseconds::max()
                 : remaining_use_time(bounds, vm.m_views_at, m_now);
-        const auto wanted = owner_count_for(question);
+        const auto target = owner_count_for(request);
         const auto& history = vm.m_owners.m_history;
-        const auto share = left ? share_of(history, vm.m_name, some_workspace,
-                                           m_now, takeover_of(), wanted)
-                                : 0;
+        const auto share = remaining
+                               ? share_of(history, vm.m_name, some_workspace,
+                                          m_now, takeover_of(), target)
+                               : 0;
         const auto since = std::max(
             vm.m_started, granting_since(history, vm.m_name, some_workspace,
-                                         share, takeover_of(), wanted));
+                                         share, takeover_of(), target));
         int granted = 0;
         for (int i = 0; i < count; ++i)
         {
-            const auto told = vm.m_limiter.handle(
-                limit_queue_timeout(question, left), share,
-                m_broken == fault::memory ? instant{} : since, m_now);
-            if (told.m_outcome != quota_outcome::granted)
+            const auto reply = vm.m_limiter.handle(
+                limit_queue_timeout(request, remaining), share,
+                m_fault == fault::memory ? instant{} : since, m_now);
+            if (reply.m_outcome != quota_outcome::granted)
                 break;
             ++granted;
-            m_last_place = told.m_packed_grant;
+            m_last_grant = reply.m_packed_grant;
             m_grants.push_back(
-                {m_now + wait_of_grant(told.m_packed_grant), &vm});
+                {m_now + wait_of_grant(reply.m_packed_grant), &vm});
         }
         return granted;
     }
-    /// The last grant comes back from \p vm, which gave it, unused.
-    void give_back(owner_vm& vm, quota_request question)
+    /// Returns the last grant, unused, to \p vm, which gave it.
+    void return_grant(owner_vm& vm, quota_request request)
     {
-        question.m_is_return = true;
-        question.m_packed_grant = m_last_place;
-        (void)vm.m_limiter.handle(question, 0, instant{}, m_now);
+        request.m_is_return = true;
+        request.m_packed_grant = m_last_grant;
+        (void)vm.m_limiter.handle(request, 0, instant{}, m_now);
         m_grants.pop_back();
     }
-    /// The operator changes the limit; VMs that hear the store know it in time.
+    /// Changes the operator's limit; VMs that can reach the store learn of it
+    /// within config_known_within.
     void change_limit(const request_limit& limit)
     {
         m_limits.push_back({m_now, limit});
     }
-    /// As a VM asks that may not have heard of the last change yet.
-    [[nodiscard]] quota_request question(bool knows_newest) const
+    /// Builds a request with the newest limit, or with the one before it if the
+    /// last change may not have reached the VM yet.
+    [[nodiscard]] quota_request make_request(bool knows_newest) const
     {
         const bool may_lag =
             m_limits.size() > 1 &&
@@ -196,21 +201,22 @@
         return {some_workspace, m_limits[known].m_limit, known + 1, 0, false,
                 false};
     }
-    /// The most grants in any window.
-    [[nodiscard]] std::size_t most_granted() const
+    /// Returns the maximum grants in any window.
+    [[nodiscard]] std::size_t max_granted_in_window() const
     {
-        std::size_t most = 0;
-        each_window(
-            [&](instant, std::size_t count) { most = std::max(most, count); });
-        return most;
+        std::size_t max_count = 0;
+        each_window([&](instant, std::size_t count) {
+            max_count = std::max(max_count, count);
+        });
+        return max_count;
     }
-    /// No window holds more than the operator tolerates of the limits that
-    /// may have been in force in it.
+    /// Returns whether no window holds more than the operator tolerates under
+    /// any limit that may have been in force in it.
     [[nodiscard]] bool keeps_limits() const
     {
         bool keeps = true;
         each_window([&](instant end, std::size_t count) {
-            double most = 0;
+            double max_count = 0;
             for (std::size_t i = 0; i < m_limits.size(); ++i)
             {
                 const bool over =
@@ -218,20 +224,21 @@
                     m_limits[i + 1].m_from + config_applied_within <
                         end - window;
                 if (!over && m_limits[i].m_from <= end)
-                    most = std::max(most, max_tolerated(m_limits[i].m_limit));
+                    max_count =
+                        std::max(max_count, max_tolerated(m_limits[i].m_limit));
             }
-            keeps = keeps && static_cast<double>(count) <= most;
+            keeps = keeps && static_cast<double>(count) <= max_count;
         });
         return keeps;
     }
-    /// The most grants in any \p span.
-    [[nodiscard]] std::size_t most_in(milliseconds span) const
+    /// Returns the maximum grants in any \p span.
+    [[nodiscard]] std::size_t max_granted_in(milliseconds span) const
     {
-        std::size_t most = 0;
+        std::size_t max_count = 0;
         each_span(span, [&](instant, std::size_t count) {
-            most = std::max(most, count);
+            max_count = std::max(max_count, count);
         });
-        return most;
+        return max_count;
     }
     [[nodiscard]] std::size_t owners() const
     {
@@ -241,7 +248,7 @@
 private:
     [[nodiscard]] milliseconds takeover_of() const
     {
-        return m_broken == fault::takeover ? milliseconds(0) : takeover;
+        return m_fault == fault::takeover ? milliseconds(0) : takeover;
     }
 
     struct grant
@@ -277,9 +284,9 @@
         }
     }
 
-    fault m_broken;
+    fault m_fault;
     std::vector<limit_period> m_limits{{instant{}, usual_limit}};
-    std::uint32_t m_last_place = 0;
+    std::uint32_t m_last_grant = 0;
     instant m_now{};
     std::vector<owner_vm> m_vms;
     cluster_view m_view{.m_epoch = 1};
--- a/test/tenancy/test_cold_runners.cpp
+++ b/test/tenancy/test_cold_runners.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// What a cold runner bears, over all VMs, through random histories of those
-// that count it.
+// The request limit of a cold runner holds over all VMs, through random
+// histories of the VMs that count it.
 #include "pepperturn/tenancy/cold_allowance.hpp"
 
 #include "owner_fleet.hpp"
@@ -15,38 +15,40 @@
 
 } // namespace
 
-TEST_CASE("a cold runner's bound holds over all that count it", "[tenancy]")
+TEST_CASE("a cold runner's limit holds over all its owners", "[tenancy]")
 {
     const auto bound = GENERATE(
         values<cold_runner_bound>({{20, 1.5, 5}, {4, 1, 0}, {300, 1.2, 20}}));
-    const double most = bound.m_per_s * bound.m_excess + bound.m_slack;
+    const double max_per_s = bound.m_per_s * bound.m_excess + bound.m_slack;
     const auto play = [&](bool exact) {
-        owner_fleet all(5);
-        auto question = cold_runner_request(some_workspace, bound);
-        question.m_workspace = some_workspace;
-        question.m_exact = exact;
+        owner_fleet fleet(5);
+        auto request = cold_runner_request(some_workspace, bound);
+        request.m_workspace = some_workspace;
+        request.m_exact = exact;
         int granted = 0;
         for (int tick = 0; tick < 600; ++tick)
         {
             for (std::size_t i = 0; i < 5; ++i)
             {
-                all.hear(all.vm(i));
-                granted += all.ask(all.vm(i), 1000, question);
+                fleet.read_views(fleet.vm(i));
+                granted += fleet.request_grants(fleet.vm(i), 1000, request);
             }
-            // An owner restarts, one after the other.
+            // Restarts the owners one after the other.
             if (tick % 100 == 99)
-                all.restart(all.vm(static_cast<std::size_t>(tick) / 100), true);
-            all.pass(milliseconds(20));
+                fleet.restart(fleet.vm(static_cast<std::size_t>(tick) / 100),
+                              true);
+            fleet.advance(milliseconds(20));
         }
-        return std::pair(all.most_in(milliseconds(1000) + max_cold_grant_age),
-                         granted);
+        return std::pair(
+            fleet.max_granted_in(milliseconds(1000) + max_cold_grant_age),
+            granted);
     };
     const auto [busiest, granted] = play(true);
-    CHECK(static_cast<double>(busiest) <= most);
-    // Of 12 seconds, with what three owners round down and restarts cost.
-    CHECK(granted >= 12 * 0.3 * most);
-    // With what workspaces are tolerated it is passed.
-    CHECK(static_cast<double>(play(false).first) > most);
+    CHECK(static_cast<double>(busiest) <= max_per_s);
+    // In 12 seconds, less what owners round down and what restarts cost.
+    CHECK(granted >= 12 * 0.3 * max_per_s);
+    // With the tolerance that workspaces have, it is exceeded.
+    CHECK(static_cast<double>(play(false).first) > max_per_s);
 }
 
 TEST_CASE("no history of owners overruns a cold runner", "[tenancy][property]")
@@ -54,35 +56,35 @@
     const cold_runner_bound bound{20, 1.5, 5};
     CHECK(rc::check("cold runners", [&] {
         const std::size_t size = 4;
-        owner_fleet all(size);
-        auto question = cold_runner_request(some_workspace, bound);
-        question.m_workspace = some_workspace;
+        owner_fleet fleet(size);
+        auto request = cold_runner_request(some_workspace, bound);
+        request.m_workspace = some_workspace;
         const auto steps = *rc::gen::inRange(0, 100);
         for (int i = 0; i < steps; ++i)
         {
-            auto& vm = all.vm(*rc::gen::inRange<std::size_t>(0, size));
+            auto& vm = fleet.vm(*rc::gen::inRange<std::size_t>(0, size));
             switch (*rc::gen::inRange(0, 8))
             {
             case 0:
-                all.toggle_member(*rc::gen::inRange<std::size_t>(0, size));
+                fleet.toggle_member(*rc::gen::inRange<std::size_t>(0, size));
                 break;
             case 1:
             case 2:
-                all.hear(vm);
+                fleet.read_views(vm);
                 break;
             case 3:
-                all.restart(vm, *rc::gen::arbitrary<bool>());
+                fleet.restart(vm, *rc::gen::arbitrary<bool>());
                 break;
             default:
                 for (std::size_t each = 0; each < size; ++each)
-                    (void)all.ask(all.vm(each), *rc::gen::inRange(0, 50),
-                                  question);
+                    (void)fleet.request_grants(
+                        fleet.vm(each), *rc::gen::inRange(0, 50), request);
                 break;
             }
-            all.pass(milliseconds(*rc::gen::inRange(0, 800)));
+            fleet.advance(milliseconds(*rc::gen::inRange(0, 800)));
         }
-        RC_ASSERT(static_cast<double>(
-                      all.most_in(milliseconds(1000) + max_cold_grant_age)) <=
+        RC_ASSERT(static_cast<double>(fleet.max_granted_in(
+                      milliseconds(1000) + max_cold_grant_age)) <=
                   bound.m_per_s * bound.m_excess + bound.m_slack);
     }));
 }
--- a/test/tenancy/test_freshness.cpp
+++ b/test/tenancy/test_freshness.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Ages of what VMs know of the store: a VM must never take it for
-// younger than it is, whatever is held up, frozen or answered late.
+// Ages of the configuration that VMs know: a VM must never assume an age that
+// is too small, however messages are delayed, VMs frozen or responses late.
 #include "pepperturn/tenancy/freshness.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,28 +13,27 @@
 
 using namespace pepperturn;
 
-/// One VM: what it knows of the store's configurations, and a question that
-/// is under way.
+/// One VM: the configuration that it knows, and its outstanding request.
 struct vm_row
 {
     std::uint64_t m_revision = 0;
     freshness_bound m_freshness;
     /// Offset of its steady clock.
     milliseconds m_offset{0};
-    struct question
+    struct outstanding_request
     {
-        std::size_t m_of = 0;
-        instant m_asked{};
-        /// Set once it has been answered.
-        std::optional<freshness_message> m_told;
+        std::size_t m_target = 0;
+        instant m_sent_at{};
+        /// Set once the request has been answered.
+        std::optional<freshness_message> m_reply;
     };
-    std::optional<question> m_question;
+    std::optional<outstanding_request> m_request;
 };
 
-/// The store and some VMs that ask it and each other.
-struct world
+/// The store and some VMs that send requests to it and to each other.
+struct store_fixture
 {
-    explicit world(std::size_t vms) : m_vms(vms)
+    explicit store_fixture(std::size_t vms) : m_vms(vms)
     {
         for (std::size_t i = 0; i < vms; ++i)
             m_vms[i].m_offset = milliseconds(1000 + 977 * i);
@@ -47,19 +46,20 @@
     {
         m_changed_at[++m_newest] = m_now;
     }
-    /// The answer of the store is held up for \p late after it was made.
-    void read_store(vm_row& vm, milliseconds before, milliseconds late)
+    /// The store's response is delivered \p response_delay after it was made.
+    void read_store(vm_row& vm, milliseconds request_delay,
+                    milliseconds response_delay)
     {
-        const auto asked = now_at(vm);
-        m_now += before;
+        const auto sent_at = now_at(vm);
+        m_now += request_delay;
         const auto seen = m_newest;
-        m_now += late;
+        m_now += response_delay;
         vm.m_revision = std::max(vm.m_revision, seen);
         if (seen == vm.m_revision)
-            vm.m_freshness.m_config_confirmed_at = asked;
+            vm.m_freshness.m_config_confirmed_at = sent_at;
     }
-    /// What this VM may believe is true: a configuration newer than its own
-    /// is younger than its bound.
+    /// Returns whether the VM's bound is correct: the next newer configuration
+    /// must not be older than the bound.
     [[nodiscard]] bool is_sound(const vm_row& vm) const
     {
         if (vm.m_freshness.m_config_confirmed_at == instant{})
@@ -76,83 +76,84 @@
     std::vector<vm_row> m_vms;
 };
 
-void answer(world& all, vm_row& from)
+void send_reply(store_fixture& fixture, vm_row& from)
 {
-    auto& question = *from.m_question;
-    const auto& to = all.m_vms[question.m_of];
-    question.m_told =
-        report_freshness(to.m_freshness, to.m_revision, all.now_at(to));
+    auto& outstanding_request = *from.m_request;
+    const auto& to = fixture.m_vms[outstanding_request.m_target];
+    outstanding_request.m_reply =
+        report_freshness(to.m_freshness, to.m_revision, fixture.now_at(to));
 }
 
-void receive(vm_row& vm, bool with_news, std::uint64_t revision)
+void receive(vm_row& vm, bool with_update, std::uint64_t revision)
 {
-    const auto told = *vm.m_question->m_told;
-    if (with_news)
+    const auto reported = *vm.m_request->m_reply;
+    if (with_update)
         vm.m_revision = std::max(vm.m_revision, revision);
-    const auto heard =
-        derive_freshness(told, vm.m_question->m_asked, vm.m_revision, true);
-    vm.m_freshness = newest(vm.m_freshness, heard);
-    vm.m_question.reset();
+    const auto derived = derive_freshness(reported, vm.m_request->m_sent_at,
+                                          vm.m_revision, true);
+    vm.m_freshness = newest(vm.m_freshness, derived);
+    vm.m_request.reset();
 }
 
 } // namespace
 
-TEST_CASE("ages are told and taken on the old side", "[tenancy]")
+TEST_CASE("ages are never reported or derived too small", "[tenancy]")
 {
     const instant now = instant{} + milliseconds(9000);
     const freshness_bound bound{now - milliseconds(700), instant{}};
-    const auto told = report_freshness(bound, 8, now);
-    CHECK(told == freshness_message{8, 701, UINT32_MAX});
-    const auto asked = instant{} + milliseconds(50000);
-    CHECK(derive_freshness(told, asked, 8, true).m_config_confirmed_at ==
-          asked - milliseconds(701));
-    // Never heard stays so.
-    CHECK(derive_freshness(told, asked, 8, true).m_views_confirmed_at ==
+    const auto reported = report_freshness(bound, 8, now);
+    CHECK(reported == freshness_message{8, 701, UINT32_MAX});
+    const auto sent_at = instant{} + milliseconds(50000);
+    CHECK(derive_freshness(reported, sent_at, 8, true).m_config_confirmed_at ==
+          sent_at - milliseconds(701));
+    // "Never confirmed" is preserved.
+    CHECK(derive_freshness(reported, sent_at, 8, true).m_views_confirmed_at ==
           instant{});
-    // This VM is behind: the answer is of a configuration that it lacks.
-    CHECK(derive_freshness(told, asked, 7, true).m_config_confirmed_at ==
+    // This VM is behind: the reply is about a configuration that it does not
+    // have.
+    CHECK(derive_freshness(reported, sent_at, 7, true).m_config_confirmed_at ==
           instant{});
     CHECK(age_of(instant{}, now) == milliseconds::max());
     CHECK(age_of(now, now + milliseconds(3)) == milliseconds(3));
 }
 
-TEST_CASE("no history of late answers makes a bound too young",
+TEST_CASE("no history of late replies makes a bound too recent",
           "[tenancy][property]")
 {
     CHECK(rc::check("answers", [] {
-        world all(3);
+        store_fixture fixture(3);
         const auto steps = *rc::gen::inRange(0, 120);
         for (int i = 0; i < steps; ++i)
         {
-            auto& vm = all.m_vms[*rc::gen::inRange<std::size_t>(0, 3)];
+            auto& vm = fixture.m_vms[*rc::gen::inRange<std::size_t>(0, 3)];
             const milliseconds span(*rc::gen::inRange(0, 1500));
             switch (*rc::gen::inRange(0, 5))
             {
             case 0:
-                all.change();
+                fixture.change();
                 break;
             case 1:
-                all.read_store(vm, span,
-                               milliseconds(*rc::gen::inRange(0, 3000)));
+                fixture.read_store(vm, span,
+                                   milliseconds(*rc::gen::inRange(0, 3000)));
                 break;
             case 2:
-                if (!vm.m_question)
-                    vm.m_question = {*rc::gen::inRange<std::size_t>(0, 3),
-                                     all.now_at(vm), std::nullopt};
+                if (!vm.m_request)
+                    vm.m_request = {*rc::gen::inRange<std::size_t>(0, 3),
+                                    fixture.now_at(vm), std::nullopt};
                 break;
             case 3:
-                if (vm.m_question && !vm.m_question->m_told)
-                    answer(all, vm);
+                if (vm.m_request && !vm.m_request->m_reply)
+                    send_reply(fixture, vm);
                 break;
             case 4:
-                if (vm.m_question && vm.m_question->m_told)
+                if (vm.m_request && vm.m_request->m_reply)
                     receive(vm, *rc::gen::arbitrary<bool>(),
-                            all.m_vms[vm.m_question->m_of].m_revision);
+                            fixture.m_vms[vm.m_request->m_target].m_revision);
                 break;
             }
-            all.m_now += span;
-            for (const auto& row : all.m_vms)
-                RC_ASSERT(all.is_sound(row));
+            fixture.m_now += span;
+            for (const auto& row : fixture.m_vms)
+                RC_ASSERT(fixture.is_sound(row));
         }
     }));
 }
--- a/test/tenancy/test_limit_histories.cpp
+++ b/test/tenancy/test_limit_histories.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
-// Random histories of owners that are cut off, frozen, replaced and restarted:
-// in no span of five seconds may a workspace be granted more than its limit
-// and the tolerance that counting over many VMs has.
+// Random histories in which owners are partitioned, frozen, replaced and
+// restarted. In no span of five seconds may a workspace be granted more than
+// its limit and the tolerance for distributed counting.
 
 #include "owner_fleet.hpp"
 
@@ -13,77 +13,82 @@
 using namespace pepperturn;
 using namespace pepperturn::test;
 
-/// Requests of some programs, which wait or do not, and may come back.
-void ask_something(owner_fleet& all, owner_vm& vm)
+/// Sends requests of a few programs, with or without a queue timeout; the last
+/// grant may be returned.
+void request_something(owner_fleet& fleet, owner_vm& vm)
 {
-    auto question = all.question(*rc::gen::arbitrary<bool>());
-    question.m_program = *rc::gen::inRange<std::uint64_t>(0, 4);
-    question.m_queue_timeout_ms =
+    auto request = fleet.make_request(*rc::gen::arbitrary<bool>());
+    request.m_program = *rc::gen::inRange<std::uint64_t>(0, 4);
+    request.m_queue_timeout_ms =
         *rc::gen::element(0U, 300U, max_queue_timeout_ms);
-    const int granted = all.ask(vm, *rc::gen::inRange(0, 400), question);
+    const int granted =
+        fleet.request_grants(vm, *rc::gen::inRange(0, 400), request);
     if (granted > 0 && *rc::gen::arbitrary<bool>())
-        all.give_back(vm, question);
+        fleet.return_grant(vm, request);
 }
 
-void play_step(owner_fleet& all, std::size_t size)
+void play_step(owner_fleet& fleet, std::size_t size)
 {
-    auto& vm = all.vm(*rc::gen::inRange<std::size_t>(0, size));
+    auto& vm = fleet.vm(*rc::gen::inRange<std::size_t>(0, size));
     switch (*rc::gen::inRange(0, 10))
     {
     case 0:
-        all.toggle_member(*rc::gen::inRange<std::size_t>(0, size));
+        fleet.toggle_member(*rc::gen::inRange<std::size_t>(0, size));
         break;
     case 1:
     case 2:
-        all.hear(vm);
+        fleet.read_views(vm);
         break;
     case 3:
-        all.restart(vm, *rc::gen::arbitrary<bool>());
+        fleet.restart(vm, *rc::gen::arbitrary<bool>());
         break;
     case 4:
-        all.change_limit(*rc::gen::element(usual_limit, request_limit{10, 10},
-                                           request_limit{2.5, 0},
-                                           request_limit{400, 50}));
+        fleet.change_limit(*rc::gen::element(usual_limit, request_limit{10, 10},
+                                             request_limit{2.5, 0},
+                                             request_limit{400, 50}));
         break;
     default:
         for (std::size_t i = 0; i < size; ++i)
-            ask_something(all, all.vm(i));
+            request_something(fleet, fleet.vm(i));
         break;
     }
-    all.pass(milliseconds(*rc::gen::inRange(0, 1200)));
+    fleet.advance(milliseconds(*rc::gen::inRange(0, 1200)));
 }
 
-/// An owner is cut off with its callers, and a new one takes its share.
-std::size_t grants_around_a_cut(fault what)
+/// Partitions owners together with their callers while a new one takes over
+/// their share.
+std::size_t grants_around_partition(fault injected)
 {
-    owner_fleet all(4, what);
-    const auto serve = [&](std::size_t vm) { all.ask(all.vm(vm), 1000); };
+    owner_fleet fleet(4, injected);
+    const auto use_up = [&](std::size_t vm) {
+        fleet.request_grants(fleet.vm(vm), 1000);
+    };
     for (int tick = 0; tick < 150; ++tick)
     {
         if (tick == 20)
             for (std::size_t i = 0; i < 3; ++i)
-                all.toggle_member(i);
+                fleet.toggle_member(i);
         for (std::size_t i = 0; i < 4; ++i)
         {
-            serve(i);
-            const bool cut = tick >= 20 && i < 3;
-            if (!cut)
-                all.hear(all.vm(i));
+            use_up(i);
+            const bool is_partitioned = tick >= 20 && i < 3;
+            if (!is_partitioned)
+                fleet.read_views(fleet.vm(i));
         }
-        all.pass(milliseconds(100));
+        fleet.advance(milliseconds(100));
     }
-    return all.most_granted();
+    return fleet.max_granted_in_window();
 }
 
 } // namespace
 
-TEST_CASE("owners are few, and the same whoever asks", "[tenancy]")
+TEST_CASE("owners are few, and the same for all VMs", "[tenancy]")
 {
     const std::vector<std::string> members{"a", "b", "c", "d", "e"};
     const auto owners = owners_of(members, 5);
     CHECK(owners.size() == target_owner_count);
     CHECK(owners_of({"e", "d", "c", "b", "a"}, 5) == owners);
-    // Who is no owner may go without moving a share.
+    // Removing a member that is no owner moves no share.
     for (const auto& name : members)
     {
         if (std::find(owners.begin(), owners.end(), name) != owners.end())
@@ -96,7 +101,8 @@
     CHECK(owners_of({"a"}, 5).size() == 1);
 }
 
-TEST_CASE("a new owner begins after the one before has ended", "[tenancy]")
+TEST_CASE("a new owner grants only after the previous one has stopped",
+          "[tenancy]")
 {
     const instant start = instant{} + std::chrono::seconds(50);
     owner_history history = unknown_history();
@@ -108,7 +114,7 @@
     CHECK(share(takeover) == 0);
     CHECK(share(takeover + milliseconds(1)) == 1);
     CHECK(granting_since(history, "a", 1, 1.0, takeover) == start + takeover);
-    // Shares shrink at once.
+    // Shares shrink immediately.
     record_members(history, {"a", "b"}, start + milliseconds(9000), takeover);
     CHECK(share(milliseconds(9000)) == 0.5);
     record_members(history, {"a"}, start + milliseconds(10000), takeover);
@@ -118,146 +124,149 @@
 
 TEST_CASE("what the limit allows is granted", "[tenancy]")
 {
-    owner_fleet all(3);
+    owner_fleet fleet(3);
     int granted = 0;
     for (int tick = 0; tick < 100; ++tick)
     {
         for (std::size_t i = 0; i < 3; ++i)
         {
-            all.hear(all.vm(i));
-            granted += all.ask(all.vm(i), 1000);
+            fleet.read_views(fleet.vm(i));
+            granted += fleet.request_grants(fleet.vm(i), 1000);
         }
-        all.pass(milliseconds(100));
+        fleet.advance(milliseconds(100));
     }
-    // Twice what a window holds, but for what three owners round down.
+    // Twice what a window holds, less what three owners round down.
     CHECK(granted >= 2 * max_granted(usual_limit) - 2 * 3);
-    CHECK(static_cast<double>(all.most_granted()) <= max_granted(usual_limit));
+    CHECK(static_cast<double>(fleet.max_granted_in_window()) <=
+          max_granted(usual_limit));
 }
 
-TEST_CASE("a limit that is lowered binds at once", "[tenancy]")
+TEST_CASE("a lowered limit takes effect immediately", "[tenancy]")
 {
-    owner_fleet all(1);
-    // Of a window's 663 a quarter second holds 163 at once, and 25.
-    CHECK(all.ask(all.vm(0), 1000) == 188);
-    all.pass(milliseconds(1000));
-    all.hear(all.vm(0));
-    // 32.5 of 82.5 at once, and 2.5.
-    CHECK(all.ask(all.vm(0), 1000, {10, 10}, 2) == 35);
-    all.pass(milliseconds(1000));
-    all.hear(all.vm(0));
-    // Also for a VM that does not know it yet: 10 more in a second.
-    CHECK(all.ask(all.vm(0), 1000, usual_limit, 1) == 42 - 35);
-    all.pass(milliseconds(1000));
-    all.hear(all.vm(0));
-    // A higher limit counts what was granted before, in spans that hold it.
-    CHECK(all.ask(all.vm(0), 1000, usual_limit, 3) == 188);
-    all.pass(milliseconds(300));
-    CHECK(all.ask(all.vm(0), 1000, usual_limit, 3) == 25);
-    all.pass(milliseconds(1000));
-    CHECK(all.ask(all.vm(0), 1000, usual_limit, 3) <= 188);
-    CHECK(static_cast<double>(all.most_granted()) <= max_granted(usual_limit));
+    owner_fleet fleet(1);
+    // A window holds 663; a quarter second holds 163 at once and 25 more.
+    CHECK(fleet.request_grants(fleet.vm(0), 1000) == 188);
+    fleet.advance(milliseconds(1000));
+    fleet.read_views(fleet.vm(0));
+    // A window holds 82.5; a quarter second holds 32.5 at once and 2.5 more.
+    CHECK(fleet.request_grants(fleet.vm(0), 1000, {10, 10}, 2) == 35);
+    fleet.advance(milliseconds(1000));
+    fleet.read_views(fleet.vm(0));
+    // Also for a VM that does not know the new limit yet: 10 more in a second.
+    CHECK(fleet.request_grants(fleet.vm(0), 1000, usual_limit, 1) == 42 - 35);
+    fleet.advance(milliseconds(1000));
+    fleet.read_views(fleet.vm(0));
+    // Under a higher limit, earlier grants still count in the spans that
+    // contain them.
+    CHECK(fleet.request_grants(fleet.vm(0), 1000, usual_limit, 3) == 188);
+    fleet.advance(milliseconds(300));
+    CHECK(fleet.request_grants(fleet.vm(0), 1000, usual_limit, 3) == 25);
+    fleet.advance(milliseconds(1000));
+    CHECK(fleet.request_grants(fleet.vm(0), 1000, usual_limit, 3) <= 188);
+    CHECK(static_cast<double>(fleet.max_granted_in_window()) <=
+          max_granted(usual_limit));
 }
 
-TEST_CASE("below a lowered limit no window holds more than it", "[tenancy]")
+TEST_CASE("no window exceeds a lowered limit", "[tenancy]")
 {
-    owner_fleet all(1);
-    (void)all.ask(all.vm(0), 1000);
+    owner_fleet fleet(1);
+    (void)fleet.request_grants(fleet.vm(0), 1000);
     const request_limit low{10, 10};
     int granted = 0;
     for (int tick = 0; tick < 49; ++tick)
     {
-        all.pass(milliseconds(100));
-        all.hear(all.vm(0));
-        granted += all.ask(all.vm(0), 1000, low, 2);
+        fleet.advance(milliseconds(100));
+        fleet.read_views(fleet.vm(0));
+        granted += fleet.request_grants(fleet.vm(0), 1000, low, 2);
     }
-    // All of a window but its last step in 4.9 seconds.
+    // A whole window except its last step, in 4.9 seconds.
     CHECK(granted == 80);
 }
 
-TEST_CASE("a restart takes it that the most was granted before", "[tenancy]")
+TEST_CASE("a restarted owner assumes that the maximum was granted", "[tenancy]")
 {
-    owner_fleet all(1);
-    CHECK(all.ask(all.vm(0), 1000) == 188);
-    all.restart(all.vm(0), true);
-    all.hear(all.vm(0));
-    CHECK(all.ask(all.vm(0), 1000) == 0);
-    all.pass(milliseconds(250));
-    CHECK(all.ask(all.vm(0), 1000) == 0);
-    // Room comes back by quarter seconds.
-    all.pass(milliseconds(50));
-    CHECK(all.ask(all.vm(0), 1000) == 25);
-    all.pass(milliseconds(250));
-    CHECK(all.ask(all.vm(0), 1000) == 25);
+    owner_fleet fleet(1);
+    CHECK(fleet.request_grants(fleet.vm(0), 1000) == 188);
+    fleet.restart(fleet.vm(0), true);
+    fleet.read_views(fleet.vm(0));
+    CHECK(fleet.request_grants(fleet.vm(0), 1000) == 0);
+    fleet.advance(milliseconds(250));
+    CHECK(fleet.request_grants(fleet.vm(0), 1000) == 0);
+    // Capacity becomes free again each quarter second.
+    fleet.advance(milliseconds(50));
+    CHECK(fleet.request_grants(fleet.vm(0), 1000) == 25);
+    fleet.advance(milliseconds(250));
+    CHECK(fleet.request_grants(fleet.vm(0), 1000) == 25);
     int granted = 0;
     for (int tick = 0; tick < 8; ++tick)
     {
-        all.hear(all.vm(0));
-        granted += all.ask(all.vm(0), 1000);
-        all.pass(milliseconds(500));
+        fleet.read_views(fleet.vm(0));
+        granted += fleet.request_grants(fleet.vm(0), 1000);
+        fleet.advance(milliseconds(500));
     }
     CHECK(granted >= 7 * 50);
 }
 
-TEST_CASE("many restarts, each with a full line, break no limit", "[tenancy]")
+TEST_CASE("repeated restarts with a full queue exceed no limit", "[tenancy]")
 {
     const auto gap = GENERATE(300, 600, 1100, 2600, 4900);
-    const auto play = [&](fault what) {
-        owner_fleet all(1, what);
+    const auto play = [&](fault injected) {
+        owner_fleet fleet(1, injected);
         for (int tick = 0; tick < 200; ++tick)
         {
-            all.hear(all.vm(0));
-            (void)all.ask(all.vm(0), 1000);
-            all.pass(milliseconds(50));
+            fleet.read_views(fleet.vm(0));
+            (void)fleet.request_grants(fleet.vm(0), 1000);
+            fleet.advance(milliseconds(50));
             if (tick * 50 % gap < 50)
-                all.restart(all.vm(0), true);
+                fleet.restart(fleet.vm(0), true);
         }
-        return static_cast<double>(all.most_granted());
+        return static_cast<double>(fleet.max_granted_in_window());
     };
     CHECK(play(fault::nothing) <= max_granted(usual_limit));
     CHECK(play(fault::memory) > max_tolerated(usual_limit));
 }
 
-TEST_CASE("a cut-off owner and its successor: no window is over the limit",
-          "[tenancy]")
+TEST_CASE("a partitioned owner and its successor exceed no limit", "[tenancy]")
 {
-    CHECK(static_cast<double>(grants_around_a_cut(fault::nothing)) <=
+    CHECK(static_cast<double>(grants_around_partition(fault::nothing)) <=
           max_tolerated(usual_limit));
-    // The check catches either part left out.
-    CHECK(static_cast<double>(grants_around_a_cut(fault::freshness)) >
+    // The check detects the absence of either mechanism.
+    CHECK(static_cast<double>(grants_around_partition(fault::freshness)) >
           max_tolerated(usual_limit));
-    CHECK(static_cast<double>(grants_around_a_cut(fault::takeover)) >
+    CHECK(static_cast<double>(grants_around_partition(fault::takeover)) >
           max_tolerated(usual_limit));
 }
 
-TEST_CASE("a list that was missed has had its owners", "[tenancy]")
+TEST_CASE("owners by a missed member list are accounted for", "[tenancy]")
 {
-    // Both VMs have all of the limit in turn, and neither hears of the other.
-    const auto play = [](fault what) {
-        owner_fleet all(2, what);
-        all.toggle_member(0);
-        all.hear(all.vm(1));
-        all.hear(all.vm(0));
-        all.pass(milliseconds(6000));
-        all.hear(all.vm(1));
-        all.toggle_member(0);
-        all.toggle_member(1);
-        all.hear(all.vm(0));
-        all.pass(milliseconds(9100));
-        all.hear(all.vm(0));
+    // Both VMs own the whole limit in turn, and neither receives the other's
+    // views.
+    const auto play = [](fault injected) {
+        owner_fleet fleet(2, injected);
+        fleet.toggle_member(0);
+        fleet.read_views(fleet.vm(1));
+        fleet.read_views(fleet.vm(0));
+        fleet.advance(milliseconds(6000));
+        fleet.read_views(fleet.vm(1));
+        fleet.toggle_member(0);
+        fleet.toggle_member(1);
+        fleet.read_views(fleet.vm(0));
+        fleet.advance(milliseconds(9100));
+        fleet.read_views(fleet.vm(0));
         for (int tick = 0; tick < 20; ++tick)
         {
-            (void)all.ask(all.vm(0), 1000);
-            all.pass(milliseconds(50));
+            (void)fleet.request_grants(fleet.vm(0), 1000);
+            fleet.advance(milliseconds(50));
         }
-        all.toggle_member(1);
-        all.toggle_member(0);
-        all.hear(all.vm(1));
+        fleet.toggle_member(1);
+        fleet.toggle_member(0);
+        fleet.read_views(fleet.vm(1));
         for (int tick = 0; tick < 60; ++tick)
         {
-            (void)all.ask(all.vm(1), 1000);
-            all.pass(milliseconds(50));
+            (void)fleet.request_grants(fleet.vm(1), 1000);
+            fleet.advance(milliseconds(50));
         }
-        return static_cast<double>(all.most_granted());
+        return static_cast<double>(fleet.max_granted_in_window());
     };
     CHECK(play(fault::nothing) <= max_granted(usual_limit));
     CHECK(play(fault::lineage) > max_tolerated(usual_limit));
@@ -265,42 +274,42 @@
 
 TEST_CASE("a restart just after a change of owners", "[tenancy]")
 {
-    const auto play = [](fault what) {
-        owner_fleet all(2, what);
-        all.toggle_member(0);
-        all.hear(all.vm(1));
-        all.restart(all.vm(1), true);
-        all.hear(all.vm(1));
+    const auto play = [](fault injected) {
+        owner_fleet fleet(2, injected);
+        fleet.toggle_member(0);
+        fleet.read_views(fleet.vm(1));
+        fleet.restart(fleet.vm(1), true);
+        fleet.read_views(fleet.vm(1));
         for (int tick = 0; tick < 100; ++tick)
         {
-            (void)all.ask(all.vm(0), 1000);
-            (void)all.ask(all.vm(1), 1000);
-            all.pass(milliseconds(50));
+            (void)fleet.request_grants(fleet.vm(0), 1000);
+            (void)fleet.request_grants(fleet.vm(1), 1000);
+            fleet.advance(milliseconds(50));
         }
-        return static_cast<double>(all.most_granted());
+        return static_cast<double>(fleet.max_granted_in_window());
     };
     CHECK(play(fault::nothing) <= max_granted(usual_limit));
     CHECK(play(fault::settling) > max_tolerated(usual_limit));
 }
 
-TEST_CASE("places of an owner that restarts are void", "[tenancy]")
+TEST_CASE("slots granted by an owner that restarts are void", "[tenancy]")
 {
-    const auto play = [](fault what) {
-        owner_fleet all(1, what);
-        auto question = all.question(true);
-        question.m_queue_timeout_ms = max_queue_timeout_ms;
+    const auto play = [](fault injected) {
+        owner_fleet fleet(1, injected);
+        auto request = fleet.make_request(true);
+        request.m_queue_timeout_ms = max_queue_timeout_ms;
         for (int tick = 0; tick < 100; ++tick)
         {
-            all.hear(all.vm(0));
-            (void)all.ask(all.vm(0), 1000, question);
-            all.pass(milliseconds(50));
+            fleet.read_views(fleet.vm(0));
+            (void)fleet.request_grants(fleet.vm(0), 1000, request);
+            fleet.advance(milliseconds(50));
             if (tick % 25 == 24)
-                all.restart(all.vm(0), true);
+                fleet.restart(fleet.vm(0), true);
         }
-        return static_cast<double>(all.most_granted());
+        return static_cast<double>(fleet.max_granted_in_window());
     };
     CHECK(play(fault::nothing) <= max_granted(usual_limit));
-    CHECK(play(fault::places) > max_tolerated(usual_limit));
+    CHECK(play(fault::pending_slots) > max_tolerated(usual_limit));
 }
 
 TEST_CASE("no history of owners grants more than the limit",
@@ -308,10 +317,10 @@
 {
     const auto size = GENERATE(std::size_t{2}, std::size_t{3}, std::size_t{5});
     CHECK(rc::check("owners", [&] {
-        owner_fleet all(size);
+        owner_fleet fleet(size);
         const auto steps = *rc::gen::inRange(0, 100);
         for (int i = 0; i < steps; ++i)
-            play_step(all, size);
-        RC_ASSERT(all.keeps_limits());
+            play_step(fleet, size);
+        RC_ASSERT(fleet.keeps_limits());
     }));
 }
--- a/test/tenancy/test_workspace_counts.cpp
+++ b/test/tenancy/test_workspace_counts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Counts of workspaces as metrics: bounded in number, whoever they belong to.
+// Metrics of workspaces: their number stays bounded.
 #include "pepperturn/tenancy/workspace_counts.hpp"
 
 #include <algorithm>
@@ -19,7 +19,8 @@
 
 } // namespace
 
-TEST_CASE("the busiest workspaces are named, the others are one", "[tenancy]")
+TEST_CASE("the busiest workspaces are named, the others are summed",
+          "[tenancy]")
 {
     std::vector<named_counts> rows;
     for (unsigned i = 0; i < max_named_workspaces + 20; ++i)
@@ -44,7 +45,7 @@
     CHECK(workspace_totals{}.text().empty());
 }
 
-TEST_CASE("names without end stay bounded", "[tenancy]")
+TEST_CASE("the number of names stays bounded", "[tenancy]")
 {
     workspace_totals totals;
     constexpr int names = 10000;
--- a/test/tenancy/test_workspaces.cpp
+++ b/test/tenancy/test_workspaces.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("credentials that are read and that are not", "[tenancy]")
+TEST_CASE("well-formed and malformed credentials", "[tenancy]")
 {
     struct sample
     {
@@ -76,11 +76,11 @@
     CHECK_FALSE(add_workspace(directory, {"d", {}, {1, 1e12}}, {}).empty());
     const auto reason = add_workspace(directory, {"e", {}, {}}, {"key-a"});
     CHECK(reason == "workspace e has a key of a");
-    // A key that stands twice in its own workspace harms nobody.
+    // A key may be listed twice in its own workspace.
     CHECK(add_workspace(directory, {"f", {}, {}}, {"k", "k"}).empty());
 }
 
-TEST_CASE("whose a request is, by the age of the configuration", "[tenancy]")
+TEST_CASE("the verdict depends on the age of the configuration", "[tenancy]")
 {
     const auto directory = two_workspaces();
     const staleness_limits limits{milliseconds(5000), milliseconds(3000)};
@@ -96,7 +96,7 @@
         {"key-a", 4501, identity_verdict::uncertain},
         {"key-x", 0, identity_verdict::unknown},
         {"key-x", 2400, identity_verdict::unknown},
-        // It may be newer than what is known here.
+        // The key may be newer than the local configuration.
         {"key-x", 2401, identity_verdict::uncertain},
         {"key-x", 60000, identity_verdict::uncertain},
     }));
@@ -111,7 +111,7 @@
             .m_verdict == identity_verdict::malformed);
 }
 
-TEST_CASE("ids of two workspaces never meet", "[tenancy]")
+TEST_CASE("ids of two workspaces never collide", "[tenancy]")
 {
     const workspace first{"a", {}, {}};
     const workspace second{"ab", {}, {}};
