--- a/include/pepperturn/tenancy/limiter.hpp
+++ b/include/pepperturn/tenancy/limiter.hpp
@@ -56,10 +56,11 @@
 /// members.
 [[nodiscard]] std::size_t owner_count_for(const quota_request& request);
 
-/// Caps the request's queue timeout at \p max: an owner must not grant a slot
-/// in a time when another owner may grant the same.
+/// Caps the request's queue timeout at \p max_timeout: an owner must not grant
+/// a slot in a time when another owner may grant the same.
 [[nodiscard]] quota_request
-limit_queue_timeout(quota_request request, std::optional<milliseconds> max);
+limit_queue_timeout(quota_request request,
+                    std::optional<milliseconds> max_timeout);
 
 enum class quota_outcome : std::uint8_t
 {
--- a/src/tenancy/limiter.cpp
+++ b/src/tenancy/limiter.cpp
@@ -377,9 +377,9 @@
 }
 
 quota_request limit_queue_timeout(quota_request request,
-                                  std::optional<milliseconds> max)
+                                  std::optional<milliseconds> max_timeout)
 {
-    const auto max_ms = max.value_or(milliseconds(0)).count();
+    const auto max_ms = max_timeout.value_or(milliseconds(0)).count();
     request.m_queue_timeout_ms =
         static_cast<std::uint32_t>(std::clamp<milliseconds::rep>(
             max_ms, 0,
