--- a/include/pepperturn/tenancy/workspace_counts.hpp
+++ b/include/pepperturn/tenancy/workspace_counts.hpp
@@ -70,9 +70,9 @@
 constexpr std::size_t max_named_workspaces = 100;
 
 /// Formats one line `workspace_NAME_EVENT value` for each count above zero, the
-/// workspaces with the most requests first; all beyond \ref
-/// max_named_workspaces are summed as `other`. Characters that are not allowed
-/// in a metric name become `_`.
+/// workspaces with the most requests first; all beyond
+/// \ref max_named_workspaces are summed as `other`. Characters that are not
+/// allowed in a metric name become `_`.
 [[nodiscard]] std::string text_of(std::vector<named_counts> rows);
 
 /// Counts by name; names beyond a bound are counted as `other`.
