--- a/include/pepperturn/forward/cold_client.hpp
+++ b/include/pepperturn/forward/cold_client.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "pepperturn/forward/quota_client.hpp"
-#include "pepperturn/tenancy/cold_allowance.hpp"
+#include "pepperturn/tenancy/cold_runner_limit.hpp"
 
 namespace pepperturn {
 
--- a/src/tenancy/cold_allowance.cpp
+++ b/src/tenancy/cold_runner_limit.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/tenancy/cold_allowance.hpp"
+#include "pepperturn/tenancy/cold_runner_limit.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
--- a/test/tenancy/test_cold_runners.cpp
+++ b/test/tenancy/test_cold_runners.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 // The request limit of a cold runner holds over all VMs, through random
 // histories of the VMs that count it.
-#include "pepperturn/tenancy/cold_allowance.hpp"
+#include "pepperturn/tenancy/cold_runner_limit.hpp"
 
 #include "owner_fleet.hpp"
 
