--- a/include/pepperturn/cluster/member_links.hpp
+++ b/include/pepperturn/cluster/member_links.hpp
@@ -4,10 +4,10 @@
 /// that some of them tell.
 #pragma once
 
-#include "pepperturn/cluster/detours.hpp"
 #include "pepperturn/cluster/dialing.hpp"
 #include "pepperturn/cluster/frame_link.hpp"
-#include "pepperturn/cluster/link_silence.hpp"
+#include "pepperturn/cluster/link_health.hpp"
+#include "pepperturn/cluster/relay_client.hpp"
 
 #include <map>
 
--- a/include/pepperturn/cluster/detours.hpp
+++ b/include/pepperturn/cluster/relay_client.hpp
@@ -13,7 +13,7 @@
 #pragma once
 
 #include "pepperturn/cluster/frame_link.hpp"
-#include "pepperturn/cluster/neighbours.hpp"
+#include "pepperturn/cluster/relay_peers.hpp"
 
 #include <map>
 #include <set>
--- a/include/pepperturn/fleet/edge_node.hpp
+++ b/include/pepperturn/fleet/edge_node.hpp
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "pepperturn/cluster/config_fetcher.hpp"
-#include "pepperturn/cluster/freshness_keeper.hpp"
-#include "pepperturn/cluster/news_sources.hpp"
+#include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/cluster/replica_sets.hpp"
+#include "pepperturn/cluster/update_sources.hpp"
 #include "pepperturn/config/fleet_settings.hpp"
 #include "pepperturn/fleet/edge_reach.hpp"
 #include "pepperturn/fleet/runner_list.hpp"
--- a/include/pepperturn/fleet/storage_node.hpp
+++ b/include/pepperturn/fleet/storage_node.hpp
@@ -5,11 +5,11 @@
 #pragma once
 
 #include "pepperturn/cluster/config_fetcher.hpp"
-#include "pepperturn/cluster/freshness_keeper.hpp"
+#include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/cluster/membership.hpp"
-#include "pepperturn/cluster/news_sources.hpp"
 #include "pepperturn/cluster/owner_views.hpp"
 #include "pepperturn/cluster/replica_sets.hpp"
+#include "pepperturn/cluster/update_sources.hpp"
 #include "pepperturn/config/fleet_settings.hpp"
 #include "pepperturn/fleet/runner_list.hpp"
 #include "pepperturn/fleet/status_server.hpp"
--- a/src/cluster/freshness_keeper.cpp
+++ b/src/cluster/freshness_poller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/cluster/freshness_keeper.hpp"
+#include "pepperturn/cluster/freshness_poller.hpp"
 
 namespace pepperturn {
 
--- a/src/cluster/neighbours.cpp
+++ b/src/cluster/relay_peers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/cluster/neighbours.hpp"
+#include "pepperturn/cluster/relay_peers.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
--- a/src/cluster/news_sources.cpp
+++ b/src/cluster/update_sources.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/cluster/news_sources.hpp"
+#include "pepperturn/cluster/update_sources.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
--- a/src/turns/turn_news.cpp
+++ b/src/turns/turn_news.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 // What a storage VM knows of the world: whom it tells, and what it keeps of it
 // on its disk.
-#include "pepperturn/cluster/neighbours.hpp"
+#include "pepperturn/cluster/relay_peers.hpp"
 #include "pepperturn/cluster/replica_sets.hpp"
 #include "pepperturn/turns/turn_server.hpp"
 
--- a/test/cluster/test_reach_decisions.cpp
+++ b/test/cluster/test_reach_decisions.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/cluster/link_silence.hpp"
-#include "pepperturn/cluster/neighbours.hpp"
+#include "pepperturn/cluster/link_health.hpp"
 #include "pepperturn/cluster/relay_limits.hpp"
+#include "pepperturn/cluster/relay_peers.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
--- a/test/fleet/test_reach.cpp
+++ b/test/fleet/test_reach.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "support/fleet/reach_world.hpp"
 
-#include "pepperturn/cluster/freshness_keeper.hpp"
+#include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/cluster/relay_limits.hpp"
 #include "pepperturn/forward/quota_client.hpp"
 
--- a/test/fleet/test_workspace_limits.cpp
+++ b/test/fleet/test_workspace_limits.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 // Freshness and limits of workspaces over real connections: storage
 // VMs, the store's stand-in, and an edge VM's questions.
-#include "pepperturn/cluster/freshness_keeper.hpp"
+#include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/forward/quota_client.hpp"
 
 #include "support/fleet/storage_world.hpp"
