--- a/include/pepperturn/cluster/config_fetcher.hpp
+++ b/include/pepperturn/cluster/config_fetcher.hpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Gets a configuration that storage VMs have only announced, from the nearest
-/// of them.
+/// Fetches a large configuration from a storage VM. Storage VMs announce only
+/// the revision of such a configuration; the text is requested from the nearest
+/// VM that has it.
 #pragma once
 
 #include "pepperturn/cluster/member_links.hpp"
@@ -11,29 +12,31 @@
 class config_fetcher
 {
 public:
-    /// \param availability_zone members there are asked first
-    /// \param take gets the answers
+    /// \param availability_zone members of this zone are asked first
+    /// \param on_config called with each configuration received
     config_fetcher(asio::io_context& io, const clock& time, member_links& links,
                    std::string availability_zone,
-                   std::function<void(const cluster_state&)> take);
+                   std::function<void(const cluster_state&)> on_config);
 
-    /// Tells in which zone each member is.
+    /// Sets the members and with them the zone of each.
     void set_members(const std::vector<member>& members);
-    /// The newest configuration that is here; older ones are not asked for.
+    /// Sets the newest revision known on this VM; older ones are not fetched.
     void note_known(std::uint64_t revision);
-    /// \p member has the configuration of \p revision.
+    /// Records that \p member announced the configuration of \p revision.
     void note_announced(const std::string& member, std::uint64_t revision);
 
 private:
-    /// Connected members that have something newer, the nearest first.
+    /// Members that announced a newer revision, those of the own zone first.
     [[nodiscard]] std::vector<std::string> sources(bool near_only) const;
-    /// Whoever connects again announces again.
+    /// Drops announcements of disconnected members; a member repeats its
+    /// announcement when it reconnects.
     void forget_disconnected();
     [[nodiscard]] bool in_own_zone(const std::string& member) const;
     task<> fetch();
-    /// Until what is known is newer, or the member asked is lost.
-    task<> wait_for_reply(instant until);
-    /// Its answer is taken whenever it comes.
+    /// Waits until a newer configuration is known, the request has failed, or
+    /// \p deadline has passed.
+    task<> wait_for_reply(instant deadline);
+    /// A reply is used whenever it arrives, even after the wait has ended.
     void send_request(const std::string& member);
 
     asio::io_context& m_io;
@@ -46,7 +49,7 @@
     std::map<std::string, std::uint64_t> m_announced;
     async_event m_changed;
     bool m_fetching = false;
-    /// The connection to the member asked last has ended.
+    /// The last request failed: its connection ended before a reply.
     bool m_request_failed = false;
 };
 
--- a/include/pepperturn/cluster/dialing.hpp
+++ b/include/pepperturn/cluster/dialing.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// How often a member that does not answer is tried again.
+/// Connect timeouts and retry intervals for members that do not answer.
 ///
-/// Load pattern: all VMs start within tenths of a second of each other, and
-/// whoever dials first finds nobody. A pause that grows with each failure is
-/// longest just when the others are there. So pauses stay short while all are
-/// likely to be starting, and grow only after that.
+/// Load pattern: all VMs start within tenths of a second of each other, and the
+/// first to connect finds nobody listening. An exponential back-off would be
+/// longest just when the others come up. So intervals remain short while VMs
+/// are likely to be starting, and grow only after that.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -14,10 +14,10 @@
 
 struct dial_facts
 {
-    /// Since this VM's start, or since it lost the last member that it was
-    /// connected to, whichever came later; others may be connected by now.
+    /// Time since this VM started or since it lost its last connection to a
+    /// member, whichever is later; other members may be connected by now.
     milliseconds m_since_isolated{0};
-    /// Tries of this member that failed, one after the other.
+    /// Consecutive failed attempts to connect to this member.
     unsigned m_failures = 0;
 
     friend bool operator==(const dial_facts&, const dial_facts&) = default;
@@ -25,9 +25,9 @@
 
 struct dial_times
 {
-    /// Before the next try.
+    /// Pause before the next attempt.
     milliseconds m_pause{0};
-    /// How long a try may take.
+    /// Connect timeout of an attempt.
     milliseconds m_timeout{0};
 
     friend bool operator==(const dial_times&, const dial_times&) = default;
--- a/include/pepperturn/cluster/freshness_poller.hpp
+++ b/include/pepperturn/cluster/freshness_poller.hpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Keeps what this VM knows of the platform's store fresh: asks storage VMs
-/// how old theirs is. What may be believed is in tenancy/freshness.hpp.
+/// Keeps the age bound of what this VM knows of the platform's store up to date
+/// by polling storage VMs for the age of their own data. The rules for using
+/// the bound are in tenancy/freshness.hpp.
 #pragma once
 
 #include "pepperturn/cluster/member_links.hpp"
@@ -11,27 +12,27 @@
 class freshness_poller
 {
 public:
-    /// Whom to ask and what is known here, as of each question.
+    /// Callbacks that are evaluated for each request.
     struct hooks
     {
-        /// Storage VMs, the best first.
+        /// Storage VMs to poll, preferred ones first.
         std::function<std::vector<std::string>()> m_sources;
-        /// Revision of the configuration in force here.
+        /// Revision of the configuration in force on this VM.
         std::function<std::uint64_t()> m_known_revision;
-        /// A source knows a newer configuration.
+        /// Called when a source reports a newer configuration.
         std::function<void(const std::string& source, std::uint64_t revision)>
             m_on_newer_config;
-        /// Sources tell this VM every view that they know, in order with
-        /// their answers.
+        /// True if sources send this VM every view they learn, in order with
+        /// their replies.
         bool m_receives_views = false;
     };
 
     freshness_poller(asio::io_context& io, const clock& time,
                      member_links& links, hooks what);
 
-    /// Asks from now on, or no longer.
-    void set_enabled(bool wanted);
-    /// Takes what this VM has from the store itself.
+    /// Starts or stops polling.
+    void set_enabled(bool enabled);
+    /// Merges the bound that this VM has from its own reads of the store.
     void record(const freshness_bound& own);
     [[nodiscard]] const freshness_bound& freshness() const
     {
@@ -40,7 +41,7 @@
 
 private:
     task<> poll();
-    /// \returns true if what is known is fresh now
+    /// \returns true if the data is fresh after this poll
     task<bool> poll_once();
 
     asio::io_context& m_io;
--- a/include/pepperturn/cluster/link_health.hpp
+++ b/include/pepperturn/cluster/link_health.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// When a member's own link counts as silent, so that questions go through a
-/// neighbour: a partition says nothing, and the connection breaks only once
-/// the kernel gives up on it.
+/// When the direct link to a member is treated as unresponsive, so that
+/// requests go through a relay peer. A partition gives no error, and the
+/// connection breaks only when the kernel times out.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -11,62 +11,64 @@
 
 namespace pepperturn {
 
-/// Members send beats twice a second: one that has missed two is not heard.
+/// A member is reachable if a frame arrived within this time. Members send
+/// heartbeats twice a second, so it has missed two otherwise.
 constexpr milliseconds liveness_timeout{1200};
-/// A member that was not heard for this long is asked for a sign of life
-/// through a neighbour, soon enough that it never counts as not heard in
+/// A member not heard from for this long is probed through a relay peer, soon
+/// enough that a successful probe keeps it from being treated as unreachable in
 /// between.
 constexpr milliseconds probe_after{800};
-/// A question that waits this long while its member answers none goes through
-/// a neighbour, too: many times what an answer usually takes, and a
-/// tenth of what a caller waits.
+/// A request that waits this long while its member answers none is relayed as
+/// well: many times the usual reply time, and a tenth of what a caller waits.
 constexpr milliseconds direct_reply_timeout{120};
-/// A process that slept longer than this between two looks at its questions was
-/// itself held up, and has answers to read before it finds others silent.
+/// If the process slept longer than this between two checks of its requests, it
+/// was itself delayed and reads pending replies before it treats members as
+/// unresponsive.
 constexpr milliseconds max_scheduling_lag{60};
 
 struct link_facts
 {
-    /// There is a connection.
     bool m_connected = false;
-    /// A question went unanswered, and nothing was heard since.
+    /// A request timed out, and nothing has arrived since.
     bool m_unresponsive = false;
-    /// When the member last sent anything.
+    /// When a frame last arrived from the member.
     instant m_last_received{};
-    /// When it last answered a question. Beats alone do not tell that
-    /// questions get there.
+    /// When it last replied to a request. Heartbeats alone do not show that
+    /// requests arrive.
     instant m_last_reply{};
 
     friend bool operator==(const link_facts&, const link_facts&) = default;
 };
 
-/// The member may be asked on its own link.
+/// True if requests may be sent on the direct link.
 [[nodiscard]] inline bool is_reachable(const link_facts& facts, instant now)
 {
     return facts.m_connected && !facts.m_unresponsive &&
            now - facts.m_last_received < liveness_timeout;
 }
 
-/// The member owes a sign of life.
+/// True if the member should be probed through a relay peer.
 [[nodiscard]] inline bool needs_probe(const link_facts& facts, instant now)
 {
     return !is_reachable(facts, now) ||
            now - facts.m_last_received >= probe_after;
 }
 
-/// How long a question waits for a sign of life.
-/// \param patience of the asker, who needs time for the other way
-[[nodiscard]] inline milliseconds direct_timeout_for(milliseconds patience)
+/// Time to wait for a direct reply before a request is relayed.
+/// \param timeout timeout of the requester, who needs time for the relayed
+/// path
+[[nodiscard]] inline milliseconds direct_timeout_for(milliseconds timeout)
 {
-    return std::min(direct_reply_timeout, patience / 2);
+    return std::min(direct_reply_timeout, timeout / 2);
 }
 
-/// The member has answered nothing since \p asked, for as long as \p silence.
+/// True if the member has replied to nothing since \p sent_at, for at least
+/// \p timeout.
 [[nodiscard]] inline bool is_unresponsive(const link_facts& facts,
-                                          instant asked, milliseconds silence,
+                                          instant sent_at, milliseconds timeout,
                                           instant now)
 {
-    return facts.m_last_reply <= asked && now - asked >= silence;
+    return facts.m_last_reply <= sent_at && now - sent_at >= timeout;
 }
 
 } // namespace pepperturn
--- a/include/pepperturn/cluster/owner_views.hpp
+++ b/include/pepperturn/cluster/owner_views.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What one storage VM knows of the owners of limits, from the views of the
-/// replica sets.
+/// What one storage VM knows of the owners of limits, derived from the views of
+/// the replica sets.
 ///
-/// Load pattern: VMs that are cut off while views change twice and are back
-/// where they were. Taken by their members alone, the views look as if
-/// nothing had happened, and two VMs spend one share.
+/// Failure prevented: a VM is partitioned while the view changes twice and
+/// returns to the same members. Judged by members alone, nothing seems to have
+/// happened, and two VMs grant the same share of a limit.
 #pragma once
 
 #include "pepperturn/cluster/view.hpp"
@@ -16,25 +16,26 @@
 struct owner_knowledge
 {
     owner_history m_history = unknown_history();
-    /// That it comes from.
+    /// The views that the history is derived from.
     std::vector<cluster_view> m_views = {};
 
     friend bool operator==(const owner_knowledge&,
                            const owner_knowledge&) = default;
 };
 
-/// Nobody owns anything by an older view than the ones known.
+/// True if no owner by an older view than the known ones may still grant.
 [[nodiscard]] bool is_settled(const owner_knowledge& owners, instant now,
                               milliseconds takeover);
 
-/// What a VM knows that starts with the views that it kept. Owners of views
-/// that were replaced shortly before may still grant.
-/// \param settled they had been \ref is_settled
+/// What a VM knows when it starts with the views that it has stored. Owners by
+/// views that were replaced shortly before may still grant.
+/// \param settled whether the stored views were \ref is_settled
 [[nodiscard]] owner_knowledge
 restore_knowledge(const std::vector<cluster_view>& views, bool settled,
                   instant now, milliseconds takeover);
 
-/// Takes the views of now, and those that were missed as far as they tell.
+/// Applies the current views, and the missed ones as far as the recorded steps
+/// describe them.
 /// \returns false if some remain unknown: the VM owns nothing for \p takeover
 bool apply_views(owner_knowledge& owners,
                  const std::vector<cluster_view>& views, instant now,
--- a/include/pepperturn/cluster/relay_client.hpp
+++ b/include/pepperturn/cluster/relay_client.hpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Questions to storage VMs through neighbours: the asking side.
+/// Relayed requests to storage VMs: the requesting side.
 ///
-/// Load pattern: an edge VM is separated from some or all storage VMs while
-/// other edge VMs hear both it and them. Without another way it would refuse
-/// every request that needs a turn, a limit or a place, for as long as the
-/// partition lasts.
+/// Load pattern: a network partition separates an edge VM from some or all
+/// storage VMs while other edge VMs (its relay peers) reach both it and them.
+/// Without a second path it would refuse every request that needs a turn, a
+/// limit or a placement for as long as the partition lasts.
 ///
-/// One hop only: a neighbour passes a question on over its own link, or says
-/// at once that it cannot, and the next one is asked. The first answer is
-/// taken. Connections to neighbours are made when they are first needed.
+/// A request takes one relay hop only: a peer forwards it over its own link, or
+/// reports at once that it cannot, and the next peer is tried. The first reply
+/// wins. Connections to peers are opened on first use.
 #pragma once
 
 #include "pepperturn/cluster/frame_link.hpp"
@@ -20,11 +20,11 @@
 
 namespace pepperturn {
 
-/// What went through neighbours so far.
+/// Totals of requests sent through relay peers.
 struct relay_client_counts
 {
     std::uint64_t m_requests = 0;
-    /// No neighbour brought an answer.
+    /// Requests that got no reply through any peer.
     std::uint64_t m_failed = 0;
 
     friend bool operator==(const relay_client_counts&,
@@ -37,39 +37,40 @@
     relay_client(asio::io_context& io, const clock& time, std::string self_name,
                  std::string availability_zone);
 
-    /// Takes the neighbours to ask from now on. An empty list is passed over:
-    /// a VM that tells it has just started.
-    void set_peers(std::vector<neighbour> neighbours);
+    /// Replaces the relay peers. An empty list is ignored: it comes from a
+    /// storage VM that has just started and knows no edge VMs yet.
+    void set_peers(std::vector<neighbour> peers);
     void stop();
-    /// Called for what a neighbour tells of the world.
+    /// Called for each cluster state update received from a peer.
     void on_state(std::function<void(const cluster_state&)> handler)
     {
         m_on_state = std::move(handler);
     }
-    /// Neighbours are to tell of the world from now on, or not any more.
-    void set_subscribed(bool wanted);
+    /// Subscribes to or unsubscribes from state updates of the peers.
+    void set_subscribed(bool subscribed);
 
-    /// Some neighbour may reach \p member.
+    /// True if some peer is currently eligible to relay to \p member.
     [[nodiscard]] bool may_reach(const std::string& member) const;
-    /// Asks \p member through a neighbour.
-    /// \param reason why it is not reached directly, for the log
-    /// \param question its epoch goes with it as it is
-    /// \param done comes exactly once; at once if nobody can be asked
-    /// \param patience the next neighbour is tried after it at the latest; one
-    /// below \ref usual_silence ends the question at twice its length
+    /// Sends a request to \p member through a relay peer.
+    /// \param reason why the member is not reached directly, for the log
+    /// \param request forwarded with its epoch unchanged
+    /// \param done called exactly once; at once if no peer is eligible
+    /// \param timeout the next peer is tried after this time at the latest; if
+    /// it is below \ref direct_reply_timeout, the request fails after twice
+    /// this time
     void send_request(const std::string& member, const char* reason,
-                      const frame& question, reply_handler done,
-                      milliseconds patience);
-    /// Asks a member that is not reached directly for a sign of life, unless
-    /// it was heard a moment ago; at ever longer intervals while there is none.
+                      const frame& request, reply_handler done,
+                      milliseconds timeout);
+    /// Sends a probe to a member that is not reached directly, unless a reply
+    /// came from it recently; backs off exponentially while probes fail.
     void probe(const std::string& member, const char* reason);
-    /// The member is reached directly again.
+    /// Stops tracking a member that is reached directly again.
     void end_relaying(const std::string& member);
 
-    /// When the member last answered through a neighbour; the epoch of the
-    /// clock: never.
+    /// When the member last replied through a peer; the epoch of the clock:
+    /// never.
     [[nodiscard]] instant last_seen(const std::string& member) const;
-    /// Neighbours that may be asked.
+    /// Number of relay peers.
     [[nodiscard]] std::size_t peer_count() const
     {
         return m_peers.size();
@@ -88,13 +89,14 @@
         bool m_removed = false;
         instant m_last_received{};
         instant m_backoff_until{};
-        /// Failures in a row to connect or to answer.
+        /// Consecutive failures to connect or to reply.
         std::uint32_t m_failures = 0;
-        /// Members that it does not reach, by its own word.
+        /// Members that it reported as unreachable, and until when they are
+        /// skipped.
         std::map<std::string, instant> m_unreachable_until;
-        /// Questions that wait for the connection.
+        /// Requests to send once the connection is established.
         std::vector<std::uint64_t> m_queued;
-        /// Questions that it has not answered.
+        /// Requests sent to this peer that it has not answered.
         std::set<std::uint64_t> m_pending;
     };
     struct pending_request
@@ -105,18 +107,19 @@
         std::set<std::string> m_tried;
         milliseconds m_reply_timeout{};
         instant m_deadline{};
-        /// When the last neighbour was asked.
+        /// When the most recent peer was tried.
         instant m_last_attempt{};
         std::string m_last_peer;
     };
-    /// A member that is asked through neighbours.
+    /// State of a member that is reached through peers.
     struct member_status
     {
         instant m_last_seen{};
         instant m_next_probe{};
         milliseconds m_probe_interval{};
         bool m_probing = false;
-        /// An answer has come since it was last reached directly.
+        /// A relayed reply has arrived since the member was last reached
+        /// directly.
         bool m_relaying = false;
         const char* m_reason = "";
     };
@@ -129,16 +132,16 @@
     task<> connect(std::shared_ptr<peer_state> row);
     void handle_frame(const std::shared_ptr<peer_state>& row,
                       const frame& value);
-    void handle_reply(peer_state& row, std::uint64_t id, frame answer);
+    void handle_reply(peer_state& row, std::uint64_t id, frame reply);
     void disconnect(peer_state& row);
     void back_off(peer_state& row);
-    /// Some neighbour may still answer.
+    /// True while some peer may still reply.
     [[nodiscard]] bool is_pending(std::uint64_t id) const;
-    /// One neighbour has no answer to a question.
+    /// Ends the attempt at one peer, which has no reply.
     void abandon_attempt(peer_state& row, std::uint64_t id);
-    void complete(std::uint64_t id, std::optional<frame> answer);
+    void complete(std::uint64_t id, std::optional<frame> reply);
     void start_monitor();
-    /// Goes on to the next neighbour where one says nothing.
+    /// Tries the next peer where one does not reply in time.
     task<> monitor_requests();
     void check_request(std::uint64_t id);
 
--- a/include/pepperturn/cluster/relay_peers.hpp
+++ b/include/pepperturn/cluster/relay_peers.hpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Which edge VMs stand in for the link of another edge VM to a storage VM:
-/// a storage VM names a few to each asker, who then tries them one by one.
+/// Relay peers: edge VMs that relay requests of another edge VM to a storage VM
+/// that it cannot reach. A storage VM assigns a few peers to each requester,
+/// who then tries them one by one.
 ///
 /// Load pattern: a network partition separates some edge VMs from the storage
-/// VMs, often a good part of them and at times a whole availability zone,
-/// while all others hear both sides. Candidates are drawn so that each asker
-/// knows some outside its zone, and that no VM relays for a large part of the
-/// fleet.
+/// VMs, often a good part of them and at times a whole availability zone, while
+/// all others reach both sides. Peers are chosen so that each requester knows
+/// some outside its zone, and no VM relays for a large part of the fleet.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -19,47 +19,49 @@
 
 namespace pepperturn {
 
-/// Neighbours that one VM is told in its own zone: the nearest way.
+/// Peers assigned in the own zone: the shortest path.
 constexpr std::size_t near_peer_count = 2;
-/// Neighbours in other zones. All candidates are out of reach together only if
-/// a partition takes six VMs that were drawn independently.
+/// Peers assigned in other zones. All peers are unreachable together only if a
+/// partition takes six VMs that were chosen independently.
 constexpr std::size_t far_peer_count = 4;
 
-/// Draws neighbours for one VM by rendezvous hashing: the same ones as long as
-/// they are there, and every VM is drawn by about as many others.
-/// \param candidates edge VMs that relay; those of the asker's name and those
-/// without an address are passed over, as is a name that came before
+/// Chooses the relay peers of one VM by rendezvous hashing: the choice is
+/// stable while they are present, and each VM is chosen by about as many
+/// others.
+/// \param candidates edge VMs that relay; entries with the name of the
+/// requester, without an address, or with a name that came before are skipped
 [[nodiscard]] std::vector<neighbour>
 choose_relay_peers(const std::vector<neighbour>& candidates,
-                   const std::string& asker,
+                   const std::string& requester,
                    const std::string& availability_zone);
 
-/// What an asker knows of a neighbour when a question goes out.
+/// What a requester knows of a peer when it sends a request.
 struct relay_peer_facts
 {
     std::string m_name;
     std::string m_availability_zone;
-    /// It was asked this question already.
+    /// This request was already sent to it.
     bool m_tried = false;
-    /// Questions that it has not answered yet.
+    /// Requests that it has not answered yet.
     std::size_t m_in_flight = 0;
-    /// It has failed to connect or to answer, and is left alone until then.
+    /// End of the back-off after it failed to connect or to reply.
     instant m_backoff_until{};
-    /// It does not reach the member in question, by its own word.
+    /// It reported the requested member as unreachable; it is skipped until
+    /// then.
     instant m_unreachable_until{};
 
     friend bool operator==(const relay_peer_facts&,
                            const relay_peer_facts&) = default;
 };
 
-/// A neighbour that has this many more questions under way is passed over for a
-/// farther one: it answers more slowly, or others ask it, too.
+/// Difference in pending requests from which a less busy peer is preferred to a
+/// nearer one: the busy peer replies more slowly, or relays for others as well.
 constexpr std::size_t requests_per_load_step = 4;
 
-/// Position of the neighbour to ask next about \p member; empty: none is left.
-/// Among those that are about equally busy, the first try stays in the own
-/// zone and the second leaves it, since a partition often takes a zone as a
-/// whole; members are spread over them.
+/// Index of the peer to send a request for \p member to; empty: none is
+/// eligible. Among peers with about the same load the first attempt stays in
+/// the own zone and the second leaves it, since a partition often affects a
+/// whole zone. Members are spread over the peers by hash.
 [[nodiscard]] std::optional<std::size_t>
 next_relay_peer(const std::vector<relay_peer_facts>& rows,
                 const std::string& member, const std::string& availability_zone,
--- a/include/pepperturn/cluster/relay_server.hpp
+++ b/include/pepperturn/cluster/relay_server.hpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Questions to storage VMs through neighbours: the VM that passes them on.
+/// Relayed requests to storage VMs: the edge VM that relays them.
 ///
-/// It keeps nothing of what passes: no key, turn or limit is stored or logged.
-/// Epoch and status go through as they are, so that members fence an asker
-/// with an old view as on its own link. Who hears no storage VM at all is told
-/// of the world from here, as storage VMs tell it: with an old view it would be
-/// fenced off for as long as it is cut off. A question that it cannot pass on
-/// is answered at once, with a failure, so that the asker tries the next
-/// neighbour.
+/// It stores and logs nothing of what it relays: no key, turn or limit. Epoch
+/// and status are forwarded unchanged, so that members fence a requester with
+/// an old view as they would on its own link. A requester that reaches no
+/// storage VM receives cluster state updates from here as well: with an old
+/// view it would be fenced for as long as the partition lasts. A request that
+/// cannot be relayed is rejected at once, so that the requester tries its next
+/// peer.
 #pragma once
 
 #include "pepperturn/cluster/frame_link.hpp"
@@ -19,16 +19,17 @@
 
 namespace pepperturn {
 
-/// What passed through one VM.
+/// Totals of what was relayed by one VM.
 struct relay_counts
 {
-    /// Questions that were passed on.
+    /// Requests relayed.
     std::uint64_t m_requests = 0;
-    /// Questions for which there was no room or no way.
+    /// Requests rejected for lack of budget or because the member is
+    /// unreachable.
     std::uint64_t m_refused = 0;
-    /// Of questions and answers.
+    /// Of requests and replies.
     std::uint64_t m_bytes = 0;
-    /// Connections closed since what came may not be passed on.
+    /// Connections closed because the peer sent what may not be relayed.
     std::uint64_t m_violations = 0;
 
     friend bool operator==(const relay_counts&, const relay_counts&) = default;
@@ -39,14 +40,14 @@
 public:
     struct hooks
     {
-        /// The member is heard on this VM's own link.
+        /// True if the member is reachable on this VM's own link.
         std::function<bool(const std::string& member)> m_is_reachable;
-        /// Asks on that link only; empty: no answer came.
+        /// Sends a request on that link only; empty: no reply arrived.
         std::function<task<std::optional<frame>>(
             std::string member, std::uint64_t epoch, frame_body body,
-            instant until)>
+            instant deadline)>
             m_request;
-        /// All that is known here, for those who hear no storage VM.
+        /// The complete cluster state, for requesters that reach no storage VM.
         std::function<cluster_state()> m_state;
     };
 
@@ -54,9 +55,9 @@
                  const relay_limits& limits = {});
 
     [[nodiscard]] bool listen(const tcp::endpoint& at, std::string& reason);
-    /// Tells those who hear no storage VM what has changed.
-    void send_updates(const cluster_state& news);
-    /// Closes all connections, so that askers turn to others at once.
+    /// Sends a state update to the subscribers.
+    void send_updates(const cluster_state& update);
+    /// Closes all connections, so that requesters turn to other peers at once.
     void stop();
     [[nodiscard]] const relay_counts& counts() const
     {
@@ -69,14 +70,14 @@
     void handle_frame(const std::shared_ptr<frame_link>& link, frame value);
     void handle_hello(const std::shared_ptr<frame_link>& link,
                       const hello_message& hello);
-    /// The question in \p value; empty: it may not be passed on.
+    /// Decodes the request in \p value; empty: it may not be relayed.
     [[nodiscard]] std::optional<frame>
     read_request(const relayed_message& value, std::string& reason) const;
     void close(const std::shared_ptr<frame_link>& link,
                const std::string& reason);
     void record_violation(const std::string& reason);
     task<> relay_request(std::shared_ptr<frame_link> link, std::uint64_t call,
-                         std::string member, frame question);
+                         std::string member, frame request);
     void reject(frame_link& link, std::uint64_t call,
                 const std::string& member);
 
@@ -87,7 +88,7 @@
     relay_budget m_budget;
     tcp::acceptor m_acceptor;
     std::set<std::shared_ptr<frame_link>> m_links;
-    /// Those that want news.
+    /// Links that subscribed to state updates.
     std::set<std::shared_ptr<frame_link>> m_subscribers;
     std::size_t m_in_flight = 0;
     relay_counts m_counts;
--- a/include/pepperturn/cluster/replica_sets.hpp
+++ b/include/pepperturn/cluster/replica_sets.hpp
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// How storage VMs are divided into replica sets, and which set keeps a
+/// How storage VMs are divided into replica sets, and which set stores a
 /// program.
 ///
-/// Load pattern: one set of all storage VMs writes each turn to a majority of
-/// them and has each begin answered by as many, so that bytes and work grow
-/// with the square of the fleet (19 copies of a turn on 36 VMs where 3 bear the
-/// loss of two disks). Sets of a fixed size keep both per turn constant.
+/// Load pattern: a single set of all storage VMs would write each turn to a
+/// majority of them and wait for as many replies to each begin, so that bytes
+/// and work grow with the square of the fleet (19 copies of a turn on 36 VMs,
+/// where 3 tolerate the loss of two disks). With sets of a fixed size both are
+/// constant per turn.
 ///
-/// The number of sets is drawn when the fleet is founded and never changes;
-/// the members of each set change by the rules of membership.hpp.
+/// The number of sets is fixed when the fleet is bootstrapped; the members of
+/// each set change by the rules of membership.hpp.
 #pragma once
 
 #include "pepperturn/cluster/view.hpp"
@@ -18,21 +19,21 @@
 
 namespace pepperturn {
 
-/// Sets for \p vms storage VMs: as many as have enough members each to bear
-/// \p disk_losses and still hold a majority.
+/// Number of sets for \p vms storage VMs: as many as have enough members each
+/// to tolerate \p disk_losses and still have a majority.
 [[nodiscard]] std::uint32_t set_count_for(std::size_t vms,
                                           std::uint32_t disk_losses);
 
-/// The set that keeps what hashes to \p hash.
+/// The set that stores what hashes to \p hash.
 [[nodiscard]] std::uint32_t set_of(std::uint64_t hash, std::uint32_t set_count);
 
-/// First views of a fleet. Nothing has been acknowledged yet, so that every
-/// member is full at once. Members of a set lie in as many availability zones
-/// as there are.
+/// The initial views of a fleet. Nothing has been acknowledged yet, so every
+/// member is full at once. The members of a set are spread over the
+/// availability zones.
 [[nodiscard]] std::vector<cluster_view>
 initial_views(std::vector<member> vms, std::uint32_t disk_losses);
 
-/// The set that \p vm is a member of; null: none.
+/// The view of the set that \p vm is a member of; null: none.
 [[nodiscard]] const cluster_view*
 find_replica_set(const std::vector<cluster_view>& views, const std::string& vm);
 
@@ -41,8 +42,8 @@
 members_of(const std::vector<cluster_view>& views);
 
 /// The set that a storage VM outside all sets should join: the one with the
-/// fewest members that count, and with the fewest in the VM's zone among
-/// these. Empty: each has as many as are of use, and the VM stands by.
+/// fewest members that take writes and, among these, the fewest in the VM's
+/// zone. Empty: all sets are as large as is useful, and the VM stands by.
 [[nodiscard]] std::optional<std::uint32_t>
 set_to_join(const std::vector<cluster_view>& views, const member& self,
             std::uint32_t disk_losses);
--- a/include/pepperturn/cluster/state.hpp
+++ b/include/pepperturn/cluster/state.hpp
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What VMs believe about the world, as they tell each other: the operator's
+/// The cluster state that VMs replicate to each other: the operator's
 /// configuration and the runners as opaque texts, the views of the replica
-/// sets, which storage VMs are to be emptied, and which zones' runners are to
-/// get nothing. Each part carries its
-/// revision in the platform's store and only moves forward; of the runners,
-/// each entry does.
+/// sets, which storage VMs are to be retired, and which zones' runners are to
+/// receive no requests. Each part carries its revision in the platform's store
+/// and only moves forward; for runners, each entry does.
 #pragma once
 
 #include "pepperturn/cluster/view.hpp"
@@ -14,20 +13,21 @@
 
 namespace pepperturn {
 
-/// One runner's entry, or that it has gone.
+/// One runner's entry, or a tombstone if the runner was removed.
 struct runner_entry
 {
     std::string m_name;
-    /// Empty if it has gone.
+    /// Empty in a tombstone.
     std::string m_text;
-    /// When it was written, or at the latest when it went.
+    /// Revision of the last write; of a tombstone, an upper bound of the
+    /// revision of the removal.
     std::uint64_t m_revision = 0;
     bool m_removed = false;
 
     friend bool operator==(const runner_entry&, const runner_entry&) = default;
 };
 
-/// The operator wants a storage VM emptied, or no longer.
+/// Request of the operator to retire a storage VM, or its withdrawal.
 struct retirement
 {
     std::string m_vm;
@@ -37,7 +37,8 @@
     friend bool operator==(const retirement&, const retirement&) = default;
 };
 
-/// The operator wants nothing sent to the runners of a zone, or takes it back.
+/// Request of the operator to send nothing to the runners of a zone, or its
+/// withdrawal.
 struct evacuation
 {
     std::string m_availability_zone;
@@ -50,42 +51,42 @@
 struct cluster_state
 {
     std::uint64_t m_config_revision = 0;
-    /// Empty beside a revision: it may be asked for.
+    /// Empty with a revision: only announced; the text can be requested.
     std::string m_config;
-    /// The entries are complete up to this; 0: these are some only.
+    /// The entries are complete up to this revision; 0: a partial list.
     std::uint64_t m_runners_revision = 0;
-    /// 0: a complete list is the whole one. Else it holds all that moved after
-    /// this revision, gone ones among them.
+    /// 0: a complete list holds all runners. Otherwise it holds all changes
+    /// after this revision, tombstones included.
     std::uint64_t m_runners_since = 0;
-    /// Of runners that went up to this revision, some are forgotten.
+    /// Tombstones up to this revision may have been dropped.
     std::uint64_t m_tombstones_since = 0;
-    /// By name.
+    /// Sorted by name.
     std::vector<runner_entry> m_runners;
-    /// Of some or all replica sets, in their order.
+    /// Of some or all replica sets, sorted by set.
     std::vector<cluster_view> m_views;
-    /// On a VM's own disk: the newest epoch of its views, once nobody owned
-    /// anything by older ones; 0: none.
+    /// Only in a VM's local storage: the newest epoch of its views once no
+    /// owner by an older view may still grant; 0: none.
     std::uint64_t m_settled_epoch = 0;
-    /// By VM.
+    /// Sorted by VM.
     std::vector<retirement> m_retirements;
-    /// By zone.
+    /// Sorted by zone.
     std::vector<evacuation> m_evacuations;
 
     friend bool operator==(const cluster_state&,
                            const cluster_state&) = default;
 };
 
-/// Which parts moved.
+/// Which parts a merge changed.
 struct state_change
 {
     bool m_config = false;
-    /// Runners whose entries moved.
+    /// Runners whose entries changed.
     std::vector<std::string> m_runners = {};
-    /// Replica sets whose views moved.
+    /// Replica sets whose views changed.
     std::vector<std::uint32_t> m_views = {};
-    /// VMs whose retirements moved.
+    /// VMs whose retirements changed.
     std::vector<std::string> m_retirements = {};
-    /// Zones whose evacuations moved.
+    /// Zones whose evacuations changed.
     std::vector<std::string> m_evacuations = {};
 
     [[nodiscard]] bool any() const
@@ -96,42 +97,42 @@
     friend bool operator==(const state_change&, const state_change&) = default;
 };
 
-/// The entry of \p name among \p rows, which are in the order of their names;
-/// null: there is none.
+/// The entry of \p name in \p rows, which are sorted by name; null: there is
+/// none.
 [[nodiscard]] const runner_entry*
 find_runner(const std::vector<runner_entry>& rows, std::string_view name);
 [[nodiscard]] runner_entry* find_runner(std::vector<runner_entry>& rows,
                                         std::string_view name);
 
-/// Takes each part of \p news that is newer. An entry that a whole list
-/// lacks has gone, unless it was written after that list.
-state_change merge_state(cluster_state& state, const cluster_state& news);
+/// Applies each part of \p update that is newer. An entry that a complete list
+/// lacks was removed, unless it was written after that list.
+state_change merge_state(cluster_state& state, const cluster_state& update);
 
-/// Only what \p change names, for a VM that knew the state before. A large
-/// configuration is left out, since several VMs tell of it.
+/// The parts in \p change, for a VM that had the previous state. A large
+/// configuration is only announced, since several VMs send the same update.
 [[nodiscard]] cluster_state changed_parts(const cluster_state& state,
                                           const state_change& change);
 
-/// What a VM is told that may know nothing yet.
+/// The complete state, for a VM that may know nothing yet.
 [[nodiscard]] cluster_state full_state(const cluster_state& state);
 
-/// What a VM is told that knows all runners up to \p known: of these only what
-/// came later, if all of that is known here.
+/// The state for a VM that knows all runners up to \p known: of the runners
+/// only later changes, if tombstones reach back that far; else all.
 [[nodiscard]] cluster_state updates_since(const cluster_state& state,
                                           std::uint64_t known);
 
-/// The operator wants \p vm emptied.
+/// True if the operator has requested the retirement of \p vm.
 [[nodiscard]] bool is_retired(const cluster_state& state,
                               const std::string& vm);
 
-/// Zones whose runners are to get nothing.
+/// Zones whose runners are to receive no requests.
 [[nodiscard]] std::vector<std::string>
 evacuated_zones(const cluster_state& state);
 
-/// Of all views.
+/// Newest epoch of all views.
 [[nodiscard]] std::uint64_t newest_epoch(const cluster_state& state);
 
-/// Runners that have not gone.
+/// Number of runners, without tombstones.
 [[nodiscard]] std::size_t count_runners(const cluster_state& state);
 
 } // namespace pepperturn
--- a/src/cluster/config_fetcher.cpp
+++ b/src/cluster/config_fetcher.cpp
@@ -8,26 +8,29 @@
 
 namespace {
 
-/// A member of the own zone announces the same within this time, unless it is
-/// behind or away: members read the store at most 150 ms apart.
-constexpr milliseconds near_patience{160};
-/// Without any configuration nothing is served: members of the own zone that
-/// run are connected to within some round trips, others are not waited for.
-constexpr milliseconds start_patience{25};
-/// Half a megabyte on the slowest links takes a third of this; then the next
-/// one is asked, and so on until somebody has answered.
-constexpr milliseconds first_patience{400};
-constexpr milliseconds longest_patience{2000};
+/// How long to wait for a member of the own zone: such members announce the
+/// same revision within this time, unless they lag or are down, as members read
+/// the store at most 150 ms apart.
+constexpr milliseconds near_timeout{160};
+/// The same while no configuration is known, since nothing can be served
+/// without one: running members of the own zone are connected within a few
+/// round trips; others are not waited for.
+constexpr milliseconds initial_near_timeout{25};
+/// Reply timeout: half a megabyte on the slowest links takes a third of the
+/// first value. On time-out the next candidate is asked, and so on until one
+/// replies.
+constexpr milliseconds first_reply_timeout{400};
+constexpr milliseconds max_reply_timeout{2000};
 
 } // namespace
 
-config_fetcher::config_fetcher(asio::io_context& io, const clock& time,
-                               member_links& links,
-                               std::string availability_zone,
-                               std::function<void(const cluster_state&)> take)
+config_fetcher::config_fetcher(
+    asio::io_context& io, const clock& time, member_links& links,
+    std::string availability_zone,
+    std::function<void(const cluster_state&)> on_config)
     : m_io(io), m_time(time), m_links(links),
       m_availability_zone(std::move(availability_zone)),
-      m_on_config(std::move(take)), m_changed(io)
+      m_on_config(std::move(on_config)), m_changed(io)
 {}
 
 void config_fetcher::set_members(const std::vector<member>& members)
@@ -89,9 +92,9 @@
 task<> config_fetcher::fetch()
 {
     const auto far_at =
-        m_time.now() + (m_known == 0 ? start_patience : near_patience);
-    auto patience = first_patience;
-    std::size_t asked = 0;
+        m_time.now() + (m_known == 0 ? initial_near_timeout : near_timeout);
+    auto timeout = first_reply_timeout;
+    std::size_t attempts = 0;
     while (!m_announced.empty())
     {
         const auto candidates = sources(m_time.now() < far_at);
@@ -99,23 +102,24 @@
             co_await m_changed.wait_until(far_at);
         else
         {
-            send_request(candidates[asked++ % candidates.size()]);
-            co_await wait_for_reply(m_time.now() + patience);
+            send_request(candidates[attempts++ % candidates.size()]);
+            co_await wait_for_reply(m_time.now() + timeout);
             if (!m_request_failed)
-                patience = std::min(2 * patience, longest_patience);
+                timeout = std::min(2 * timeout, max_reply_timeout);
         }
         forget_disconnected();
     }
     m_fetching = false;
 }
 
-task<> config_fetcher::wait_for_reply(instant until)
+task<> config_fetcher::wait_for_reply(instant deadline)
 {
-    // Others that announce it meanwhile are not asked: a configuration may
-    // fill the link for a tenth of a second, and each further copy delays all.
+    // Other members that announce it meanwhile are not asked: a configuration
+    // can occupy the link for a tenth of a second, and each further copy delays
+    // all.
     const auto known = m_known;
-    while (m_known == known && !m_request_failed && m_time.now() < until)
-        co_await m_changed.wait_until(until);
+    while (m_known == known && !m_request_failed && m_time.now() < deadline)
+        co_await m_changed.wait_until(deadline);
 }
 
 void config_fetcher::send_request(const std::string& member)
@@ -123,15 +127,15 @@
     LOG(INFO) << "event=config_asked vm=" << member
               << " revision=" << m_announced[member] << " known=" << m_known;
     m_request_failed = false;
-    // Answered whatever the asker's epoch is.
+    // Answered whatever the requester's epoch is.
     m_links.call(member, 0, want_config_message{},
-                 [this](const std::optional<frame>& answer) {
-                     const auto* told =
-                         answer ? std::get_if<cluster_state>(&answer->m_body)
-                                : nullptr;
-                     if (told != nullptr)
-                         m_on_config(*told);
-                     m_request_failed = told == nullptr;
+                 [this](const std::optional<frame>& reply) {
+                     const auto* state =
+                         reply ? std::get_if<cluster_state>(&reply->m_body)
+                               : nullptr;
+                     if (state != nullptr)
+                         m_on_config(*state);
+                     m_request_failed = state == nullptr;
                      m_changed.notify();
                  });
 }
--- a/src/cluster/frame_link.cpp
+++ b/src/cluster/frame_link.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A peer that leaves more than this unread is cut off: several of the
+/// A peer that leaves more than this unread is disconnected: several of the
 /// largest frames.
 constexpr std::size_t max_queued_bytes = 4 * max_frame_bytes;
 constexpr std::size_t read_bytes = 16384;
@@ -28,8 +28,8 @@
 } // namespace
 
 frame_link::frame_link(asio::io_context& io, tcp::socket socket,
-                       std::size_t most_bytes)
-    : m_io(io), m_socket(std::move(socket)), m_max_bytes(most_bytes)
+                       std::size_t max_bytes)
+    : m_io(io), m_socket(std::move(socket)), m_max_bytes(max_bytes)
 {
     tune_socket(m_socket, frame_peer_timeout);
 }
@@ -56,7 +56,7 @@
 {
     if (!m_open)
         return;
-    // In the order in which they were sent.
+    // Frames queued before this buffer are sent before it.
     if (!m_queue.empty())
         m_queued_buffers.push_back(
             std::make_shared<const std::string>(std::exchange(m_queue, {})));
@@ -69,7 +69,7 @@
 {
     if (m_queued_bytes > max_queued_bytes)
     {
-        close("too much unread");
+        close("peer left too much unread");
         return;
     }
     if (!m_writing)
@@ -100,7 +100,7 @@
         if (length > m_max_bytes)
         {
             m_protocol_violated = true;
-            close("frame of " + std::to_string(length) + " bytes");
+            close("oversized frame: " + std::to_string(length) + " bytes");
             return;
         }
         if (buffer.size() - used - length_bytes < length)
@@ -112,11 +112,11 @@
         if (!value)
         {
             m_protocol_violated = true;
-            close("bad frame: " + reason);
+            close("malformed frame: " + reason);
             return;
         }
         used += length_bytes + length;
-        // The handler may close the link, which drops the member.
+        // The handler may close the link, which resets the member.
         if (const auto handler = m_on_frame)
             handler(std::move(*value));
     }
@@ -167,20 +167,20 @@
 
 task<std::shared_ptr<frame_link>> connect_frame_link(asio::io_context& io,
                                                      std::string address,
-                                                     milliseconds patience,
+                                                     milliseconds timeout,
                                                      std::string& reason,
-                                                     std::size_t most_bytes)
+                                                     std::size_t max_bytes)
 {
     error_code ec;
     const auto endpoint = parse_endpoint(address, ec);
     if (!ec)
     {
         boost::beast::tcp_stream stream(io);
-        stream.expires_after(patience);
+        stream.expires_after(timeout);
         co_await stream.async_connect(endpoint, into(ec));
         if (!ec)
             co_return std::make_shared<frame_link>(io, stream.release_socket(),
-                                                   most_bytes);
+                                                   max_bytes);
     }
     reason = ec.message();
     co_return nullptr;
--- a/src/cluster/freshness_poller.cpp
+++ b/src/cluster/freshness_poller.cpp
@@ -5,15 +5,15 @@
 
 namespace {
 
-/// Between questions while the answers are fresh: with the 600 ms between two
-/// looks at the store, ages are a second at most, so that an outage of
-/// the store is served through for three and a half of five seconds.
-constexpr milliseconds ask_interval{400};
-/// Between questions while it is not.
+/// Interval between requests while replies are fresh: with 600 ms between two
+/// reads of the store, ages are at most a second, so that requests are served
+/// through an outage of the store for three and a half of five seconds.
+constexpr milliseconds poll_interval{400};
+/// Interval while the data is not fresh.
 constexpr milliseconds retry_interval{60};
-/// Several times what an answer takes; then the next source is asked.
-constexpr milliseconds ask_patience{150};
-/// A source that is older than this has lost the store.
+/// Several times the usual reply time; then the next source is polled.
+constexpr milliseconds poll_timeout{150};
+/// A source whose data is older than this has lost the store.
 constexpr milliseconds fresh_limit{1500};
 
 } // namespace
@@ -23,9 +23,9 @@
     : m_io(io), m_time(time), m_links(links), m_hooks(std::move(what))
 {}
 
-void freshness_poller::set_enabled(bool wanted)
+void freshness_poller::set_enabled(bool enabled)
 {
-    m_enabled = wanted;
+    m_enabled = enabled;
     if (m_enabled && !std::exchange(m_polling, true))
         spawn(m_io, "freshness_keeper.ask", poll());
 }
@@ -40,7 +40,7 @@
     while (m_enabled)
     {
         const bool fresh = co_await poll_once();
-        co_await sleep_for(m_io, fresh ? ask_interval : retry_interval);
+        co_await sleep_for(m_io, fresh ? poll_interval : retry_interval);
     }
     m_polling = false;
 }
@@ -51,17 +51,17 @@
     if (sources.empty())
         co_return false;
     const auto& source = sources[m_next_source % sources.size()];
-    const auto asked = m_time.now();
-    const auto answer = co_await m_links.request(
-        source, 0, want_freshness_message{}, asked + ask_patience);
-    const auto* told =
-        answer ? std::get_if<freshness_message>(&answer->m_body) : nullptr;
-    if (told != nullptr)
+    const auto sent_at = m_time.now();
+    const auto reply = co_await m_links.request(
+        source, 0, want_freshness_message{}, sent_at + poll_timeout);
+    const auto* message =
+        reply ? std::get_if<freshness_message>(&reply->m_body) : nullptr;
+    if (message != nullptr)
     {
-        record(derive_freshness(*told, asked, m_hooks.m_known_revision(),
+        record(derive_freshness(*message, sent_at, m_hooks.m_known_revision(),
                                 m_hooks.m_receives_views));
-        if (told->m_config_revision > m_hooks.m_known_revision())
-            m_hooks.m_on_newer_config(source, told->m_config_revision);
+        if (message->m_config_revision > m_hooks.m_known_revision())
+            m_hooks.m_on_newer_config(source, message->m_config_revision);
     }
     const bool fresh =
         age_of(m_freshness.m_config_confirmed_at, m_time.now()) <= fresh_limit;
--- a/src/cluster/member_demand.cpp
+++ b/src/cluster/member_demand.cpp
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: BSL-1.0
-// Members that are connected to when they are asked, where there are many.
+// Connections on demand: in fleets with many members, most are connected to
+// only when a request is made.
 #include "pepperturn/cluster/member_links.hpp"
 
 namespace pepperturn {
 
 namespace {
 
-/// A member that was asked is asked again soon: a program's turns all go to
-/// one replica set, and the pauses between them are shorter.
-constexpr milliseconds kept_after_use{5000};
-/// A member that was not reached is tried again when somebody asks for it, no
-/// sooner than this: VMs are back within seconds or not at all.
-constexpr milliseconds failure_memory{1500};
-/// What waits for a connection: more questions than come within the time in
-/// which one is established or given up.
-constexpr std::size_t most_waiting = 256;
+/// A member that was used will be used again soon: a program's turns all go to
+/// one replica set, and the pauses between them are shorter than this.
+constexpr milliseconds keep_after_use{5000};
+/// A failed member is tried again on demand, but no sooner than this: VMs are
+/// back within seconds or not at all.
+constexpr milliseconds retry_after_failure{1500};
+/// Maximum number of frames queued for a connection: more than are sent in the
+/// time in which one is established or times out.
+constexpr std::size_t max_queued = 256;
 
 } // namespace
 
@@ -22,13 +23,14 @@
 {
     return !on_demand() || (m_sources && subscribed_to(row.m_name)) ||
            !row.m_queued.empty() ||
-           m_time.now() - row.m_last_used < kept_after_use;
+           m_time.now() - row.m_last_used < keep_after_use;
 }
 
 bool member_links::connectable(const member_link& row) const
 {
     return on_demand() && row.m_link == nullptr && !row.m_removed &&
-           (!row.m_failed || m_time.now() - row.m_failed_at >= failure_memory);
+           (!row.m_failed ||
+            m_time.now() - row.m_failed_at >= retry_after_failure);
 }
 
 bool member_links::reachable(const std::string& name) const
@@ -42,24 +44,24 @@
 }
 
 void member_links::enqueue(member_link& row, frame value,
-                           std::optional<direct_request> asked)
+                           std::optional<direct_request> pending)
 {
-    if (row.m_queued.size() >= most_waiting)
+    if (row.m_queued.size() >= max_queued)
     {
-        if (asked)
-            asked->m_done(std::nullopt);
+        if (pending)
+            pending->m_done(std::nullopt);
         return;
     }
-    row.m_queued.emplace_back(std::move(value), std::move(asked));
+    row.m_queued.emplace_back(std::move(value), std::move(pending));
     row.m_wake.notify();
 }
 
 void member_links::send_queued(member_link& row)
 {
-    for (auto& [value, asked] : std::exchange(row.m_queued, {}))
+    for (auto& [value, pending] : std::exchange(row.m_queued, {}))
     {
-        if (asked)
-            send_on_link(row, std::move(value), std::move(*asked));
+        if (pending)
+            send_on_link(row, std::move(value), std::move(*pending));
         else if (row.m_link)
             row.m_link->send(value);
     }
@@ -67,17 +69,17 @@
 
 void member_links::fail_queued(member_link& row)
 {
-    for (auto& [value, asked] : std::exchange(row.m_queued, {}))
+    for (auto& [value, pending] : std::exchange(row.m_queued, {}))
     {
-        if (!asked)
+        if (!pending)
             continue;
-        if (asked->m_frame && !row.m_removed && !m_stopped &&
+        if (pending->m_frame && !row.m_removed && !m_stopped &&
             m_relay_client->may_reach(row.m_name))
             m_relay_client->send_request(row.m_name, reason_of(row), value,
-                                         std::move(asked->m_done),
-                                         asked->m_timeout);
+                                         std::move(pending->m_done),
+                                         pending->m_timeout);
         else
-            asked->m_done(std::nullopt);
+            pending->m_done(std::nullopt);
     }
 }
 
--- a/src/cluster/member_health.cpp
+++ b/src/cluster/member_health.cpp
@@ -1,36 +1,37 @@
 // SPDX-License-Identifier: BSL-1.0
-// Members that say nothing: when questions to them go through neighbours.
+// Unresponsive members: when requests to them go through relay peers.
 #include "pepperturn/cluster/member_links.hpp"
 
 namespace pepperturn {
 
 namespace {
 
-/// How often questions under way are looked at for a sign of life: half of what
-/// the least patient asker waits before it takes the other way.
-constexpr milliseconds silence_check{15};
-/// Why a member is asked through neighbours, as the log tells it.
-constexpr const char* link_silent = "link_silent";
-constexpr const char* link_lost = "link_lost";
+/// How often pending requests are checked for a reply: half of what the
+/// requester with the shortest timeout waits before its request is relayed.
+constexpr milliseconds check_interval{15};
+/// Why a member is reached through relay peers, as logged.
+constexpr const char* reason_unresponsive = "link_silent";
+constexpr const char* reason_disconnected = "link_lost";
 
-/// Takes the first answer of several ways; none once all have ended.
-class first_answer
+/// Completes a request sent on several paths with the first reply; with none
+/// once all paths have failed.
+class first_reply
 {
 public:
-    first_answer(reply_handler done, int ways)
-        : m_done(std::move(done)), m_ways(ways)
+    first_reply(reply_handler done, int paths)
+        : m_done(std::move(done)), m_paths(paths)
     {}
-    void take(std::optional<frame> answer)
+    void take(std::optional<frame> reply)
     {
-        --m_ways;
-        if (!m_done || (!answer && m_ways > 0))
+        --m_paths;
+        if (!m_done || (!reply && m_paths > 0))
             return;
-        std::exchange(m_done, nullptr)(std::move(answer));
+        std::exchange(m_done, nullptr)(std::move(reply));
     }
 
 private:
     reply_handler m_done;
-    int m_ways;
+    int m_paths;
 };
 
 } // namespace
@@ -43,7 +44,7 @@
 
 const char* member_links::reason_of(const member_link& row)
 {
-    return row.m_link ? link_silent : link_lost;
+    return row.m_link ? reason_unresponsive : reason_disconnected;
 }
 
 void member_links::mark_unresponsive(const std::string& name, member_link& row)
@@ -51,11 +52,11 @@
     row.m_unresponsive = true;
     if (m_relay_client == nullptr)
         return;
-    std::vector<std::uint64_t> waiting;
-    waiting.reserve(row.m_calls.size());
-    for (const auto& [call, asked] : row.m_calls)
-        waiting.push_back(call);
-    for (const auto call : waiting)
+    std::vector<std::uint64_t> pending_calls;
+    pending_calls.reserve(row.m_calls.size());
+    for (const auto& [call, pending] : row.m_calls)
+        pending_calls.push_back(call);
+    for (const auto call : pending_calls)
     {
         const auto found = row.m_calls.find(call);
         if (found == row.m_calls.end())
@@ -71,30 +72,31 @@
     }
 }
 
-void member_links::relay_request(const std::string& name, direct_request& asked)
+void member_links::relay_request(const std::string& name,
+                                 direct_request& pending)
 {
-    const auto question = *std::exchange(asked.m_frame, std::nullopt);
-    const auto first =
-        std::make_shared<first_answer>(std::move(asked.m_done), 2);
-    const auto take = [first](std::optional<frame> answer) {
-        first->take(std::move(answer));
+    const auto request_frame = *std::exchange(pending.m_frame, std::nullopt);
+    const auto shared =
+        std::make_shared<first_reply>(std::move(pending.m_done), 2);
+    const auto take = [shared](std::optional<frame> reply) {
+        shared->take(std::move(reply));
     };
-    asked.m_done = take;
-    m_relay_client->send_request(name, link_silent, question, take,
-                                 asked.m_timeout);
+    pending.m_done = take;
+    m_relay_client->send_request(name, reason_unresponsive, request_frame, take,
+                                 pending.m_timeout);
 }
 
 void member_links::end_calls(const std::string& name, member_link& row)
 {
-    for (auto& [call, asked] : std::exchange(row.m_calls, {}))
+    for (auto& [call, pending] : std::exchange(row.m_calls, {}))
     {
-        if (asked.m_frame && !row.m_removed && !m_stopped &&
+        if (pending.m_frame && !row.m_removed && !m_stopped &&
             m_relay_client->may_reach(name))
-            m_relay_client->send_request(name, link_lost, *asked.m_frame,
-                                         std::move(asked.m_done),
-                                         asked.m_timeout);
+            m_relay_client->send_request(
+                name, reason_disconnected, *pending.m_frame,
+                std::move(pending.m_done), pending.m_timeout);
         else
-            asked.m_done(std::nullopt);
+            pending.m_done(std::nullopt);
     }
 }
 
@@ -103,10 +105,10 @@
     do
     {
         const auto before = m_time.now();
-        co_await sleep_for(m_io, silence_check);
-        // What came while this process did not run is read first.
+        co_await sleep_for(m_io, check_interval);
+        // Frames that arrived while this process was suspended are read first.
         if (m_time.now() - before >= max_scheduling_lag)
-            co_await sleep_for(m_io, silence_check);
+            co_await sleep_for(m_io, check_interval);
     } while (check_links());
     m_monitoring = false;
 }
@@ -114,27 +116,29 @@
 bool member_links::check_links()
 {
     const auto now = m_time.now();
-    bool waits = false;
-    std::vector<std::pair<std::string, std::shared_ptr<member_link>>> silent;
+    bool any_waiting = false;
+    std::vector<std::pair<std::string, std::shared_ptr<member_link>>>
+        unresponsive;
     for (const auto& [name, row] : m_links)
     {
         if (!row->m_link || row->m_unresponsive)
             continue;
         const auto facts = facts_of(*row);
-        for (const auto& [call, asked] : row->m_calls)
+        for (const auto& [call, pending] : row->m_calls)
         {
-            if (!asked.m_frame && !asked.m_direct_only)
+            if (!pending.m_frame && !pending.m_direct_only)
                 continue;
-            waits |= row->m_last_reply <= asked.m_sent_at;
-            if (!is_unresponsive(facts, asked.m_sent_at, asked.m_timeout, now))
+            any_waiting |= row->m_last_reply <= pending.m_sent_at;
+            if (!is_unresponsive(facts, pending.m_sent_at, pending.m_timeout,
+                                 now))
                 continue;
-            silent.emplace_back(name, row);
+            unresponsive.emplace_back(name, row);
             break;
         }
     }
-    for (const auto& [name, row] : silent)
+    for (const auto& [name, row] : unresponsive)
         mark_unresponsive(name, *row);
-    return waits;
+    return any_waiting;
 }
 
 void member_links::tick()
--- a/src/cluster/member_links.cpp
+++ b/src/cluster/member_links.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-/// A beat that tells of the platform's store within this is good news.
-constexpr milliseconds fresh_store{2500};
-/// How often a connection is looked at that may be of no more use.
+/// A heartbeat that reports contact with the store within this time is treated
+/// as current.
+constexpr milliseconds store_fresh_limit{2500};
+/// How often it is checked whether a connection is still needed.
 constexpr milliseconds unused_check{1000};
-/// Why such a connection is closed.
-constexpr const char* unused_reason = "not used any more";
+/// Reason given when such a connection is closed.
+constexpr const char* unused_reason = "connection no longer needed";
 } // namespace
 
 member_links::member_links(asio::io_context& io, const clock& time,
@@ -32,13 +33,13 @@
 
 void member_links::add_link(const std::string& name, const std::string& address)
 {
-    auto fresh = std::make_shared<member_link>(m_io);
-    fresh->m_name = name;
-    fresh->m_address = address;
-    // Silence counts from now on.
-    fresh->m_last_received = m_time.now();
-    m_links[name] = fresh;
-    spawn(m_io, "member_links.connect", keep_connected(fresh));
+    auto added = std::make_shared<member_link>(m_io);
+    added->m_name = name;
+    added->m_address = address;
+    // The liveness timeout starts now.
+    added->m_last_received = m_time.now();
+    m_links[name] = added;
+    spawn(m_io, "member_links.connect", keep_connected(added));
 }
 
 void member_links::connect_seeds(const std::vector<std::string>& addresses)
@@ -70,7 +71,7 @@
         if (m_relay_client != nullptr)
             m_relay_client->end_relaying(name);
         if (const auto link = row->m_link)
-            link->close("not followed any more");
+            link->close("no longer a member");
     }
     refresh_hellos();
 }
@@ -79,8 +80,8 @@
     std::map<std::string, std::shared_ptr<member_link>>& rows,
     const member& target)
 {
-    // A seed is known by its address until the members are: its connection
-    // goes on under its name.
+    // A seed is known by its address until the members are known; its
+    // connection is then kept under its name.
     for (const auto& key : {target.m_name, target.m_address})
     {
         const auto found = rows.find(key);
@@ -99,7 +100,7 @@
     if (m_sources == sources)
         return;
     m_sources = std::move(sources);
-    // Seeds have no names yet; follow() gives them theirs.
+    // Seeds have no names yet; set_members() assigns them.
     if (m_members_known)
         refresh_hellos();
 }
@@ -109,9 +110,9 @@
     wake_needed();
     for (const auto& [name, row] : m_links)
     {
-        const bool told = row->m_sent_subscribed == subscribed_to(name) &&
-                          row->m_sent_seeks == !m_members_known;
-        if (row->m_link && !told)
+        const bool up_to_date = row->m_sent_subscribed == subscribed_to(name) &&
+                                row->m_sent_seeks == !m_members_known;
+        if (row->m_link && !up_to_date)
             send_hello(*row);
     }
 }
@@ -218,11 +219,11 @@
 
 void member_links::update_isolation()
 {
-    const bool alone =
+    const bool isolated =
         std::none_of(m_links.begin(), m_links.end(), [](const auto& row) {
             return row.second->m_link != nullptr;
         });
-    if (alone)
+    if (isolated)
         m_isolated_since = m_time.now();
 }
 
@@ -242,33 +243,34 @@
     }
     if (const auto* state = std::get_if<cluster_state>(&value.m_body))
     {
-        // Whoever takes it may learn the sender's name from it, so it is told
-        // by reference.
+        // Passed by reference: the handler may rename the link while it learns
+        // the sender's name.
         if (m_on_state)
             m_on_state(row.m_name, *state);
     }
-    else if (const auto* beat = std::get_if<beat_message>(&value.m_body))
-        handle_heartbeat(row, *beat);
+    else if (const auto* heartbeat = std::get_if<beat_message>(&value.m_body))
+        handle_heartbeat(row, *heartbeat);
 }
 
-void member_links::handle_heartbeat(member_link& row, const beat_message& beat)
+void member_links::handle_heartbeat(member_link& row,
+                                    const beat_message& heartbeat)
 {
-    const milliseconds age{beat.m_store_age_ms};
-    if (age > fresh_store)
+    const milliseconds age{heartbeat.m_store_age_ms};
+    if (age > store_fresh_limit)
         return;
-    const auto heard = m_time.now() - age;
-    m_store_last_seen = std::max(m_store_last_seen, heard);
-    if (!beat.m_watches)
+    const auto seen_at = m_time.now() - age;
+    m_store_last_seen = std::max(m_store_last_seen, seen_at);
+    if (!heartbeat.m_watches)
         return;
-    row.m_last_watched = std::max(row.m_last_watched, heard);
-    m_store_last_watched = std::max(m_store_last_watched, heard);
+    row.m_last_watched = std::max(row.m_last_watched, seen_at);
+    m_store_last_watched = std::max(m_store_last_watched, seen_at);
 }
 
 bool member_links::watches_store(const std::string& name) const
 {
     const auto found = m_links.find(name);
     return found != m_links.end() && found->second->m_link &&
-           m_time.now() - found->second->m_last_watched <= fresh_store;
+           m_time.now() - found->second->m_last_watched <= store_fresh_limit;
 }
 
 void member_links::record_received(const std::string& name, member_link& row)
@@ -288,7 +290,7 @@
 
 void member_links::call(const std::string& name, std::uint64_t epoch,
                         frame_body body, reply_handler done,
-                        milliseconds patience)
+                        milliseconds timeout)
 {
     const auto found = m_links.find(name);
     if (found == m_links.end())
@@ -298,94 +300,96 @@
     }
     const auto row = found->second;
     row->m_last_used = m_time.now();
-    const bool may_go_round = m_relay_client != nullptr && may_be_relayed(body);
-    frame question{0, epoch, frame_status::ok, std::move(body)};
-    if (may_go_round && !connectable(*row) &&
+    const bool may_relay = m_relay_client != nullptr && may_be_relayed(body);
+    frame request_frame{0, epoch, frame_status::ok, std::move(body)};
+    if (may_relay && !connectable(*row) &&
         !is_reachable(facts_of(*row), m_time.now()) &&
         m_relay_client->may_reach(name))
     {
-        m_relay_client->send_request(name, reason_of(*row), question,
+        m_relay_client->send_request(name, reason_of(*row), request_frame,
                                      std::move(done),
-                                     direct_timeout_for(patience));
+                                     direct_timeout_for(timeout));
         return;
     }
-    direct_request asked{std::move(done), m_time.now(),
-                         direct_timeout_for(patience), std::nullopt, false};
-    if (may_go_round)
-        asked.m_frame.emplace();
-    send_on_link(*row, std::move(question), std::move(asked));
+    direct_request pending{std::move(done), m_time.now(),
+                           direct_timeout_for(timeout), std::nullopt, false};
+    if (may_relay)
+        pending.m_frame.emplace();
+    send_on_link(*row, std::move(request_frame), std::move(pending));
 }
 
-void member_links::send_on_link(member_link& row, frame question,
-                                direct_request asked)
+void member_links::send_on_link(member_link& row, frame request_frame,
+                                direct_request pending)
 {
     if (connectable(row))
     {
-        enqueue(row, std::move(question), std::move(asked));
+        enqueue(row, std::move(request_frame), std::move(pending));
         return;
     }
     if (!row.m_link)
     {
-        asked.m_done(std::nullopt);
+        pending.m_done(std::nullopt);
         return;
     }
     ++m_direct_requests;
-    const bool watched = asked.m_frame || asked.m_direct_only;
-    question.m_call = m_next_call++;
-    const auto call = question.m_call;
-    row.m_calls[call] = std::move(asked);
-    row.m_link->send(question);
+    const bool watched = pending.m_frame || pending.m_direct_only;
+    request_frame.m_call = m_next_call++;
+    const auto call = request_frame.m_call;
+    row.m_calls[call] = std::move(pending);
+    row.m_link->send(request_frame);
     if (row.m_calls[call].m_frame)
-        row.m_calls[call].m_frame = std::move(question);
+        row.m_calls[call].m_frame = std::move(request_frame);
     if (watched && !std::exchange(m_monitoring, true))
         spawn(m_io, "member_links.watch", monitor_links());
 }
 
 task<std::optional<frame>> member_links::request(std::string name,
                                                  std::uint64_t epoch,
-                                                 frame_body body, instant until)
+                                                 frame_body body,
+                                                 instant deadline)
 {
-    return await_reply(std::move(name), epoch, std::move(body), until, false);
+    return await_reply(std::move(name), epoch, std::move(body), deadline,
+                       false);
 }
 
 task<std::optional<frame>> member_links::request_directly(std::string name,
                                                           std::uint64_t epoch,
                                                           frame_body body,
-                                                          instant until)
+                                                          instant deadline)
 {
-    return await_reply(std::move(name), epoch, std::move(body), until, true);
+    return await_reply(std::move(name), epoch, std::move(body), deadline, true);
 }
 
 task<std::optional<frame>>
 member_links::await_reply(std::string name, std::uint64_t epoch,
-                          frame_body body, instant until, bool direct_only)
+                          frame_body body, instant deadline, bool direct_only)
 {
-    struct asked
+    struct pending_reply
     {
-        explicit asked(asio::io_context& io) : m_changed(io) {}
+        explicit pending_reply(asio::io_context& io) : m_changed(io) {}
         async_event m_changed;
         bool m_done = false;
-        std::optional<frame> m_answer;
+        std::optional<frame> m_reply;
     };
-    const auto state = std::make_shared<asked>(m_io);
-    const auto take = [state](std::optional<frame> answer) {
+    const auto state = std::make_shared<pending_reply>(m_io);
+    const auto take = [state](std::optional<frame> reply) {
         state->m_done = true;
-        state->m_answer = std::move(answer);
+        state->m_reply = std::move(reply);
         state->m_changed.notify();
     };
     const auto found = m_links.find(name);
     if (!direct_only)
         call(name, epoch, std::move(body), take,
-             std::chrono::duration_cast<milliseconds>(until - m_time.now()));
+             std::chrono::duration_cast<milliseconds>(deadline - m_time.now()));
     else if (found != m_links.end())
         send_on_link(
             *found->second, {0, epoch, frame_status::ok, std::move(body)},
             {take, m_time.now(), direct_reply_timeout, std::nullopt, true});
     else
         co_return std::nullopt;
-    while (!state->m_done && m_time.now() < until)
-        co_await state->m_changed.wait_until(until);
-    co_return std::move(state->m_answer);
+    while (!state->m_done && m_time.now() < deadline)
+        co_await state->m_changed.wait_until(deadline);
+    co_return std::move(state->m_reply);
 }
 
 void member_links::notify(const std::string& name, frame_body body)
@@ -395,17 +399,18 @@
         return;
     auto& row = *found->second;
     row.m_last_used = m_time.now();
-    frame notice{0, 0, frame_status::ok, std::move(body)};
+    frame notification{0, 0, frame_status::ok, std::move(body)};
     if (connectable(row))
-        enqueue(row, std::move(notice), std::nullopt);
+        enqueue(row, std::move(notification), std::nullopt);
     else if (m_relay_client != nullptr &&
              !is_reachable(facts_of(row), m_time.now()) &&
-             may_be_relayed(notice.m_body) && m_relay_client->may_reach(name))
+             may_be_relayed(notification.m_body) &&
+             m_relay_client->may_reach(name))
         m_relay_client->send_request(
-            name, reason_of(row), notice, [](const std::optional<frame>&) {},
-            direct_reply_timeout);
+            name, reason_of(row), notification,
+            [](const std::optional<frame>&) {}, direct_reply_timeout);
     else if (row.m_link)
-        row.m_link->send(notice);
+        row.m_link->send(notification);
 }
 
 void member_links::send_view(const std::string& name, const cluster_view& view)
@@ -413,10 +418,10 @@
     const auto found = m_links.find(name);
     if (found == m_links.end() || !found->second->m_link)
         return;
-    cluster_state told;
-    told.m_views = {view};
+    cluster_state update;
+    update.m_views = {view};
     found->second->m_link->send(
-        {0, view.m_epoch, frame_status::ok, std::move(told)});
+        {0, view.m_epoch, frame_status::ok, std::move(update)});
 }
 
 bool member_links::connected(const std::string& name) const
@@ -452,9 +457,9 @@
     const auto found = m_links.find(name);
     if (found == m_links.end())
         return {};
-    const auto round =
+    const auto relayed =
         m_relay_client == nullptr ? instant{} : m_relay_client->last_seen(name);
-    return std::max(found->second->m_last_received, round);
+    return std::max(found->second->m_last_received, relayed);
 }
 
 } // namespace pepperturn
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How many other full members hold what this VM holds; empty: not all do.
+/// Number of other full members that hold this VM's data; empty: some do not.
 std::optional<std::uint32_t> copies_elsewhere(const cluster_view& view,
                                               const membership_facts& facts)
 {
@@ -24,13 +24,13 @@
     return copies;
 }
 
-/// Without this VM, enough others are left to keep every write.
+/// True if enough others remain without this VM to keep every write.
 bool others_suffice(const cluster_view& view, const membership_facts& facts)
 {
     std::uint32_t count = 0;
     for (const auto& row : view.m_members)
     {
-        // One after the other.
+        // Members leave one at a time.
         if (row.m_state == member_state::leaving)
             return false;
         if (row.m_name != facts.m_self.m_name &&
@@ -57,8 +57,9 @@
     return std::nullopt;
 }
 
-std::optional<cluster_view> view_without_silent(const cluster_view& view,
-                                                const membership_facts& facts)
+std::optional<cluster_view>
+view_without_unresponsive(const cluster_view& view,
+                          const membership_facts& facts)
 {
     for (const auto& name : facts.m_unresponsive)
     {
@@ -70,7 +71,7 @@
     return std::nullopt;
 }
 
-/// Everything that lost members held is on every full member.
+/// True if the data of the lost members is on every full member.
 bool may_drop_lost(const cluster_view& view, const membership_facts& facts)
 {
     const auto* collector = collector_of(view, facts.m_disk_losses);
@@ -80,8 +81,9 @@
     return copies_elsewhere(view, facts).has_value();
 }
 
-/// Some member to copy from is heard, or there is none.
-bool hears_any(const cluster_view& view, const membership_facts& facts)
+/// True if some member to copy from is reachable, or there is none to copy
+/// from.
+bool reaches_any(const cluster_view& view, const membership_facts& facts)
 {
     bool any = false;
     for (const auto& row : view.m_members)
@@ -95,15 +97,15 @@
     return !any;
 }
 
-/// The copies of this member are out of reach or gone.
+/// True if the copies of this member are unreachable or lost.
 bool lacks_copies(const member& row)
 {
     return row.m_state == member_state::lost ||
            (row.m_state == member_state::joining && !row.m_intact);
 }
 
-/// Members that hold every acknowledged write between them, if there are
-/// enough: each write was on one more disk than may be lost, and no more than
+/// Members that together hold every acknowledged write, if there are enough:
+/// each write was on one more disk than may be lost, and no more members than
 /// that lack their copies.
 std::optional<std::vector<std::string>>
 holders_of_all(const cluster_view& view, const std::string& self,
@@ -141,14 +143,14 @@
     const auto& self = facts.m_self;
     const auto* own = find_member(view, self.m_name);
     const bool same_disk = own != nullptr && own->m_disk == self.m_disk;
-    // A joining one has copies that others may count on, and one that was lost
-    // lacks some.
+    // A joining member has copies that others may count on, and one that was
+    // lost lacks some.
     const bool has_all = same_disk && (own->m_state == member_state::full ||
                                        own->m_state == member_state::leaving);
     if (facts.m_retire && has_all)
     {
         auto next = view_for_leaving(view, *own, facts);
-        // Until it may leave it has the duties of all.
+        // Until it may leave it has the duties of any member.
         if (next || own->m_state == member_state::leaving)
             return next;
     }
@@ -156,18 +158,19 @@
         return std::nullopt;
     if (!same_disk)
     {
-        // Only a first start may begin with nothing; else an empty view
-        // means that the store was read wrongly.
+        // Only the first start of the system may begin with an empty view; at
+        // any other time an empty view means that the store was read wrongly.
         if (view.m_members.empty() && !facts.m_bootstrap)
             return std::nullopt;
-        // One after the other: while two join, the full members alone could
-        // miss a write that only the joining ones have acknowledged.
+        // Members join one at a time: while two are joining, the full members
+        // alone could miss a write that only the joining ones have
+        // acknowledged.
         if (another_joins(view, self.m_name))
         {
-            // The copies of its old disk are nowhere any more.
+            // The copies on its old disk no longer exist.
             if (may_mark_lost(view, self.m_name, facts.m_disk_losses))
                 return with_state(view, self.m_name, member_state::lost);
-            return view_without_silent(view, facts);
+            return view_without_unresponsive(view, facts);
         }
         return with_joining(view, self);
     }
@@ -180,12 +183,12 @@
         next.m_members.push_back(moved);
         return next;
     }
-    // It took no writes meanwhile, so it copies like a new one.
+    // It took no writes meanwhile, so it copies like a new member.
     if (!takes_writes(own->m_state))
     {
-        // Cut off from the others it could not copy, and they would put it
-        // out again at once.
-        if (!hears_any(view, facts))
+        // While partitioned from the others it could not copy, and they would
+        // remove it again at once.
+        if (!reaches_any(view, facts))
             return std::nullopt;
         return with_return(view, self.m_name);
     }
@@ -197,7 +200,7 @@
     }
     if (may_drop_lost(view, facts))
         return without_lost(view);
-    return view_without_silent(view, facts);
+    return view_without_unresponsive(view, facts);
 }
 
 bool is_emptied(const cluster_view& view, const membership_facts& facts)
@@ -234,7 +237,7 @@
     {
         if (row.m_name == self)
             continue;
-        // What leaves is copied from where it is.
+        // A leaving member is the source of its own data.
         if (row.m_state == member_state::leaving ||
             (collects && row.m_state == member_state::full))
             plan.m_required.push_back(row.m_name);
@@ -243,17 +246,17 @@
     }
     if (joins)
     {
-        // Any read quorum knows all. Writes since a member joined reach a
-        // quorum in which it counts; those before did without it, or it has
-        // its part of them.
+        // Any read quorum knows every write. Writes since a member joined reach
+        // a quorum in which it counts; earlier ones did so without it, or it
+        // holds its part of them.
         const auto quorums =
             quorums_of(own->m_intact ? without(view, self) : view, disk_losses);
         const auto leaving = static_cast<std::uint32_t>(plan.m_required.size());
         plan.m_any_needed =
             std::max(quorums.m_read, quorums.m_read_all -
                                          std::min(quorums.m_read_all, leaving));
-        // Several joined side by side after overlapping losses: the full ones
-        // may be too few for ever.
+        // Several members joined at the same time after overlapping losses:
+        // there may never be enough full ones.
         const auto holders = plan.m_any_needed > plan.m_any.size()
                                  ? holders_of_all(view, self, disk_losses)
                                  : std::nullopt;
--- a/src/cluster/owner_views.cpp
+++ b/src/cluster/owner_views.cpp
@@ -16,7 +16,7 @@
     return found == views.end() ? nullptr : &*found;
 }
 
-/// Of all sets, but with \p names in place of those of \p set.
+/// Writers of all sets, with \p names in place of those of \p set.
 member_names all_writers(const std::vector<cluster_view>& views,
                          std::uint32_t set, const member_names& names)
 {
@@ -36,8 +36,8 @@
     return all_writers(views, views.front().m_set, writers_of(views.front()));
 }
 
-/// The lists that were in force one after the other, the last one that of
-/// \p views; empty: some are not known.
+/// The lists of writers that were in force one after the other, the last one
+/// that of \p views; empty: some are unknown.
 std::optional<std::vector<member_names>>
 lists_since(const std::vector<cluster_view>& known,
             const std::vector<cluster_view>& views)
@@ -55,7 +55,7 @@
         std::erase(*missed, last);
         if (missed->empty())
             continue;
-        // In which order the sets changed is not known.
+        // The order in which the sets changed is unknown.
         if (!out.empty())
             return std::nullopt;
         std::reverse(missed->begin(), missed->end());
@@ -67,8 +67,8 @@
     return out;
 }
 
-/// Those that were in force before, as far as the views tell; empty: they have
-/// changed more often than that.
+/// The lists of writers that were in force before, as far as the steps describe
+/// them; empty: there were more changes than are recorded.
 std::optional<std::vector<member_names>>
 earlier_lists(const std::vector<cluster_view>& views)
 {
--- a/src/cluster/relay_client.cpp
+++ b/src/cluster/relay_client.cpp
@@ -11,27 +11,28 @@
 
 namespace {
 
-/// A neighbour in the same region answers a connect within milliseconds.
-constexpr milliseconds connect_patience{60};
-/// A neighbour that has said nothing for this long is left for the next one:
-/// several times what a member's answer takes through it.
-constexpr milliseconds neighbour_patience{40};
-/// One that speaks, but has no answer to this question yet: its member may be
-/// syncing a disk.
-constexpr milliseconds answer_patience{150};
-/// How often questions under way are looked at.
-constexpr milliseconds watch_interval{20};
-/// Longest time that a question is held: callers give up sooner, and what
-/// comes later is of no use to them.
-constexpr milliseconds question_patience{1500};
-/// A neighbour is left alone after a failure, twice as long after each more.
-constexpr milliseconds first_avoidance{500};
-constexpr std::uint32_t most_doublings = 3;
-/// After a neighbour's word that it does not reach a member or has no room.
-constexpr milliseconds cannot_for{1000};
-/// Between signs of life of a member: as often as beats.
+/// A peer in the same region accepts a connection within milliseconds.
+constexpr milliseconds connect_timeout{60};
+/// The next peer is tried if one has sent nothing for this long: several times
+/// what a member's reply takes through a peer.
+constexpr milliseconds peer_timeout{40};
+/// The same for a peer that sends other frames, but no reply to this request
+/// yet: the member may be syncing a disk.
+constexpr milliseconds reply_timeout{150};
+/// How often pending requests are checked.
+constexpr milliseconds check_interval{20};
+/// Maximum lifetime of a request: callers time out sooner, and a later reply is
+/// of no use to them.
+constexpr milliseconds request_timeout{1500};
+/// Back-off after a failure of a peer, doubled with each further failure.
+constexpr milliseconds first_backoff{500};
+constexpr std::uint32_t max_doublings = 3;
+/// How long a peer is skipped for a member after it reported that it cannot
+/// reach it or has no capacity.
+constexpr milliseconds unreachable_period{1000};
+/// Between probes of a member: about as often as heartbeats.
 constexpr milliseconds probe_interval{400};
-constexpr milliseconds longest_probe_interval{3200};
+constexpr milliseconds max_probe_interval{3200};
 
 } // namespace
 
@@ -41,20 +42,20 @@
       m_availability_zone(std::move(availability_zone))
 {}
 
-void relay_client::set_peers(std::vector<neighbour> neighbours)
+void relay_client::set_peers(std::vector<neighbour> peers)
 {
-    if (neighbours.empty())
+    if (peers.empty())
         return;
     auto before = std::exchange(m_peers, {});
-    for (auto& who : neighbours)
+    for (auto& peer : peers)
     {
         const auto found =
             std::find_if(before.begin(), before.end(),
-                         [&](const auto& row) { return row->m_peer == who; });
+                         [&](const auto& row) { return row->m_peer == peer; });
         if (found == before.end())
         {
             m_peers.push_back(std::make_shared<peer_state>());
-            m_peers.back()->m_peer = std::move(who);
+            m_peers.back()->m_peer = std::move(peer);
             continue;
         }
         m_peers.push_back(*found);
@@ -67,15 +68,15 @@
     }
 }
 
-void relay_client::set_subscribed(bool wanted)
+void relay_client::set_subscribed(bool subscribed)
 {
-    if (std::exchange(m_subscribed, wanted) == wanted)
+    if (std::exchange(m_subscribed, subscribed) == subscribed)
         return;
     for (const auto& row : m_peers)
     {
         if (row->m_link)
-            row->m_link->send(
-                {0, 0, frame_status::ok, hello_message{m_self_name, wanted}});
+            row->m_link->send({0, 0, frame_status::ok,
+                               hello_message{m_self_name, subscribed}});
     }
 }
 
@@ -97,13 +98,13 @@
     out.reserve(m_peers.size());
     for (const auto& row : m_peers)
     {
-        const auto cannot = row->m_unreachable_until.find(member);
+        const auto unreachable = row->m_unreachable_until.find(member);
         out.push_back({row->m_peer.m_name, row->m_peer.m_availability_zone,
                        tried.contains(row->m_peer.m_name),
                        row->m_pending.size(), row->m_backoff_until,
-                       cannot == row->m_unreachable_until.end()
+                       unreachable == row->m_unreachable_until.end()
                            ? instant{}
-                           : cannot->second});
+                           : unreachable->second});
     }
     return out;
 }
@@ -116,11 +117,11 @@
 }
 
 void relay_client::send_request(const std::string& member, const char* reason,
-                                const frame& question, reply_handler done,
-                                milliseconds patience)
+                                const frame& request, reply_handler done,
+                                milliseconds timeout)
 {
     constexpr std::size_t length_bytes = 4;
-    auto bytes = encode_frame(question).substr(length_bytes);
+    auto bytes = encode_frame(request).substr(length_bytes);
     if (bytes.size() > max_relayed_request_bytes)
     {
         done(std::nullopt);
@@ -133,11 +134,11 @@
     row.m_frame = {id, 0, frame_status::ok,
                    relayed_message{member, std::move(bytes)}};
     row.m_done = std::move(done);
-    row.m_reply_timeout = patience;
-    // An asker with little time has gone elsewhere by then.
+    row.m_reply_timeout = timeout;
+    // A requester with a short timeout has tried another member by then.
     row.m_deadline =
         m_time.now() +
-        (patience < direct_reply_timeout ? 2 * patience : question_patience);
+        (timeout < direct_reply_timeout ? 2 * timeout : request_timeout);
     ++m_counts.m_requests;
     try_next(id);
     start_monitor();
@@ -145,10 +146,10 @@
 
 void relay_client::try_next(std::uint64_t id)
 {
-    auto& question = m_requests.at(id);
+    auto& request = m_requests.at(id);
     const auto choice =
-        next_relay_peer(facts_for(question.m_member, question.m_tried),
-                        question.m_member, m_availability_zone, m_time.now());
+        next_relay_peer(facts_for(request.m_member, request.m_tried),
+                        request.m_member, m_availability_zone, m_time.now());
     if (!choice)
     {
         if (!is_pending(id))
@@ -156,13 +157,13 @@
         return;
     }
     const auto row = m_peers[*choice];
-    question.m_tried.insert(row->m_peer.m_name);
+    request.m_tried.insert(row->m_peer.m_name);
     row->m_pending.insert(id);
-    question.m_last_attempt = m_time.now();
-    question.m_last_peer = row->m_peer.m_name;
+    request.m_last_attempt = m_time.now();
+    request.m_last_peer = row->m_peer.m_name;
     if (row->m_link)
     {
-        row->m_link->send(question.m_frame);
+        row->m_link->send(request.m_frame);
         return;
     }
     row->m_queued.push_back(id);
@@ -174,7 +175,7 @@
 {
     std::string reason;
     const auto link = co_await connect_frame_link(
-        m_io, row->m_peer.m_address, connect_patience, reason,
+        m_io, row->m_peer.m_address, connect_timeout, reason,
         max_relayed_reply_bytes + relay_frame_overhead);
     row->m_connecting = false;
     if (row->m_removed || m_stopped)
@@ -186,30 +187,30 @@
     }
     row->m_link = link;
     row->m_last_received = m_time.now();
-    // The link holds its handlers, so they must not hold the row.
+    // The link owns its handlers, so these must not own the peer.
     link->start(
         [this, weak = std::weak_ptr(row)](const frame& value) {
-            if (const auto held = weak.lock())
-                handle_frame(held, value);
+            if (const auto locked = weak.lock())
+                handle_frame(locked, value);
         },
         [this, weak = std::weak_ptr(row)](const std::string&) {
-            if (const auto held = weak.lock())
-                disconnect(*held);
+            if (const auto locked = weak.lock())
+                disconnect(*locked);
         });
     link->send(
         {0, 0, frame_status::ok, hello_message{m_self_name, m_subscribed}});
     for (const auto id : std::exchange(row->m_queued, {}))
     {
-        const auto question = m_requests.find(id);
-        if (question != m_requests.end() && row->m_link)
-            row->m_link->send(question->second.m_frame);
+        const auto request = m_requests.find(id);
+        if (request != m_requests.end() && row->m_link)
+            row->m_link->send(request->second.m_frame);
     }
 }
 
 void relay_client::disconnect(peer_state& row)
 {
     if (const auto link = std::exchange(row.m_link, nullptr))
-        link->close("neighbour left");
+        link->close("relay peer disconnected");
     row.m_queued.clear();
     if (!row.m_removed)
         back_off(row);
@@ -229,13 +230,13 @@
 
 void relay_client::back_off(peer_state& row)
 {
-    const auto doublings = std::min(row.m_failures++, most_doublings);
-    row.m_backoff_until = m_time.now() + first_avoidance * (1U << doublings);
+    const auto doublings = std::min(row.m_failures++, max_doublings);
+    row.m_backoff_until = m_time.now() + first_backoff * (1U << doublings);
 }
 
 void relay_client::abandon_attempt(peer_state& row, std::uint64_t id)
 {
-    // Others that were asked meanwhile may still answer.
+    // Other peers that were tried meanwhile may still reply.
     if (row.m_pending.erase(id) > 0 && !is_pending(id))
         try_next(id);
 }
@@ -246,32 +247,33 @@
     row->m_last_received = m_time.now();
     row->m_failures = 0;
     row->m_backoff_until = {};
-    if (const auto* news = std::get_if<cluster_state>(&value.m_body))
+    if (const auto* update = std::get_if<cluster_state>(&value.m_body))
     {
         if (m_on_state)
-            m_on_state(*news);
+            m_on_state(*update);
         return;
     }
-    const auto question = m_requests.find(value.m_call);
-    const auto* told = std::get_if<relayed_message>(&value.m_body);
-    if (told == nullptr || question == m_requests.end() ||
+    const auto request = m_requests.find(value.m_call);
+    const auto* relayed = std::get_if<relayed_message>(&value.m_body);
+    if (relayed == nullptr || request == m_requests.end() ||
         !row->m_pending.contains(value.m_call) ||
-        told->m_member != question->second.m_member)
+        relayed->m_member != request->second.m_member)
         return;
     std::string reason;
-    auto answer = value.m_status == frame_status::ok
-                      ? decode_frame(told->m_frame, reason)
-                      : std::nullopt;
-    if (answer)
+    auto reply = value.m_status == frame_status::ok
+                     ? decode_frame(relayed->m_frame, reason)
+                     : std::nullopt;
+    if (reply)
     {
-        handle_reply(*row, value.m_call, std::move(*answer));
+        handle_reply(*row, value.m_call, std::move(*reply));
         return;
     }
-    row->m_unreachable_until[told->m_member] = m_time.now() + cannot_for;
+    row->m_unreachable_until[relayed->m_member] =
+        m_time.now() + unreachable_period;
     abandon_attempt(*row, value.m_call);
 }
 
-void relay_client::handle_reply(peer_state& row, std::uint64_t id, frame answer)
+void relay_client::handle_reply(peer_state& row, std::uint64_t id, frame reply)
 {
     auto& member = m_members[m_requests.at(id).m_member];
     member.m_last_seen = m_time.now();
@@ -279,10 +281,10 @@
         LOG(INFO) << "event=relay_begun member=" << m_requests.at(id).m_member
                   << " through=" << row.m_peer.m_name
                   << " reason=" << member.m_reason;
-    complete(id, std::move(answer));
+    complete(id, std::move(reply));
 }
 
-void relay_client::complete(std::uint64_t id, std::optional<frame> answer)
+void relay_client::complete(std::uint64_t id, std::optional<frame> reply)
 {
     const auto found = m_requests.find(id);
     if (found == m_requests.end())
@@ -291,9 +293,9 @@
     m_requests.erase(found);
     for (const auto& row : m_peers)
         row->m_pending.erase(id);
-    if (!answer)
+    if (!reply)
         ++m_counts.m_failed;
-    done(std::move(answer));
+    done(std::move(reply));
 }
 
 void relay_client::start_monitor()
@@ -307,13 +309,13 @@
     while (!m_requests.empty())
     {
         const auto before = m_time.now();
-        co_await sleep_for(m_io, watch_interval);
-        // What came while this process did not run is read first.
+        co_await sleep_for(m_io, check_interval);
+        // Frames that arrived while this process was suspended are read first.
         if (m_time.now() - before >= max_scheduling_lag)
-            co_await sleep_for(m_io, watch_interval);
+            co_await sleep_for(m_io, check_interval);
         std::vector<std::uint64_t> ids;
         ids.reserve(m_requests.size());
-        for (const auto& [id, question] : m_requests)
+        for (const auto& [id, request] : m_requests)
             ids.push_back(id);
         for (const auto id : ids)
             check_request(id);
@@ -327,24 +329,23 @@
     if (found == m_requests.end())
         return;
     const auto now = m_time.now();
-    auto& question = found->second;
-    if (now >= question.m_deadline)
+    auto& request = found->second;
+    if (now >= request.m_deadline)
     {
         complete(id, std::nullopt);
         return;
     }
     const auto row = std::find_if(
         m_peers.begin(), m_peers.end(), [&](const auto& candidate) {
-            return candidate->m_peer.m_name == question.m_last_peer;
+            return candidate->m_peer.m_name == request.m_last_peer;
         });
-    const bool speaks = row != m_peers.end() &&
-                        (*row)->m_last_received > question.m_last_attempt;
-    const auto patience =
-        std::min(question.m_reply_timeout,
-                 speaks ? answer_patience : neighbour_patience);
-    if (now - question.m_last_attempt < patience)
+    const bool responsive = row != m_peers.end() &&
+                            (*row)->m_last_received > request.m_last_attempt;
+    const auto timeout = std::min(request.m_reply_timeout,
+                                  responsive ? reply_timeout : peer_timeout);
+    if (now - request.m_last_attempt < timeout)
         return;
-    if (row != m_peers.end() && !speaks && (*row)->m_backoff_until <= now)
+    if (row != m_peers.end() && !responsive && (*row)->m_backoff_until <= now)
         back_off(**row);
     try_next(id);
 }
@@ -359,21 +360,21 @@
     row.m_probing = true;
     send_request(
         member, reason, {0, 0, frame_status::ok, want_freshness_message{}},
-        [this, member](const std::optional<frame>& answer) {
+        [this, member](const std::optional<frame>& reply) {
             const auto found = m_members.find(member);
             if (found != m_members.end())
-                record_probe(found->second, answer.has_value());
+                record_probe(found->second, reply.has_value());
         },
-        answer_patience);
+        reply_timeout);
 }
 
 void relay_client::record_probe(member_status& row, bool answered) const
 {
     row.m_probing = false;
-    row.m_probe_interval =
-        answered ? probe_interval
-                 : std::clamp(2 * row.m_probe_interval, probe_interval,
-                              longest_probe_interval);
+    row.m_probe_interval = answered
+                               ? probe_interval
+                               : std::clamp(2 * row.m_probe_interval,
+                                            probe_interval, max_probe_interval);
     row.m_next_probe = m_time.now() + row.m_probe_interval;
 }
 
--- a/src/cluster/relay_limits.cpp
+++ b/src/cluster/relay_limits.cpp
@@ -28,9 +28,9 @@
 
 bool may_be_relayed(const frame_body& body)
 {
-    // A grant that came back twice would be granted twice.
-    if (const auto* question = std::get_if<quota_request>(&body))
-        return !question->m_is_return;
+    // A grant that is returned twice would be granted twice.
+    if (const auto* request = std::get_if<quota_request>(&body))
+        return !request->m_is_return;
     return std::holds_alternative<begin_message>(body) ||
            std::holds_alternative<append_message>(body) ||
            std::holds_alternative<fetch_message>(body) ||
--- a/src/cluster/relay_peers.cpp
+++ b/src/cluster/relay_peers.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-struct ranked_neighbour
+struct ranked_peer
 {
-    std::uint64_t m_draw = 0;
+    std::uint64_t m_hash = 0;
     const neighbour* m_row = nullptr;
 };
 
-/// Moves the first \p count of \p rows by their draw to \p out.
-void take_first(std::vector<ranked_neighbour>& rows, std::size_t count,
+/// Appends the \p count rows with the lowest random values to \p out.
+void take_first(std::vector<ranked_peer>& rows, std::size_t count,
                 std::vector<neighbour>& out)
 {
     std::sort(rows.begin(), rows.end(),
-              [](const ranked_neighbour& left, const ranked_neighbour& right) {
-                  return left.m_draw < right.m_draw;
+              [](const ranked_peer& left, const ranked_peer& right) {
+                  return left.m_hash < right.m_hash;
               });
     rows.resize(std::min(rows.size(), count));
     for (const auto& row : rows)
@@ -34,19 +34,19 @@
 
 std::vector<neighbour>
 choose_relay_peers(const std::vector<neighbour>& candidates,
-                   const std::string& asker,
+                   const std::string& requester,
                    const std::string& availability_zone)
 {
-    std::vector<ranked_neighbour> near;
-    std::vector<ranked_neighbour> far;
-    std::set<std::string> seen{asker};
-    const auto asker_hash = hash64(asker);
+    std::vector<ranked_peer> near;
+    std::vector<ranked_peer> far;
+    std::set<std::string> seen{requester};
+    const auto requester_hash = hash64(requester);
     for (const auto& row : candidates)
     {
         if (row.m_address.empty() || !seen.insert(row.m_name).second)
             continue;
         auto& rows = row.m_availability_zone == availability_zone ? near : far;
-        rows.push_back({hash64(row.m_name, asker_hash), &row});
+        rows.push_back({hash64(row.m_name, requester_hash), &row});
     }
     std::vector<neighbour> out;
     take_first(near, near_peer_count, out);
--- a/src/cluster/relay_server.cpp
+++ b/src/cluster/relay_server.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// Longest time that an answer is waited for: as long as the asker waits.
-constexpr milliseconds pass_patience{1500};
-/// Askers that connect beside these are closed: several times those that draw
-/// one VM as their neighbour.
-constexpr std::size_t most_links = 64;
-/// One line for violations in this time: a faulty peer connects again at once.
-constexpr milliseconds line_interval{1000};
+/// Reply timeout: as long as the requester waits.
+constexpr milliseconds reply_timeout{1500};
+/// Connections beyond this number are closed: several times the requesters that
+/// choose one VM as their peer.
+constexpr std::size_t max_links = 64;
+/// At most one log line for violations in this time: a faulty peer reconnects
+/// at once.
+constexpr milliseconds log_interval{1000};
 constexpr milliseconds accept_pause{100};
 constexpr std::size_t length_bytes = 4;
 
@@ -51,7 +52,7 @@
             co_return;
         if (ec)
             co_await sleep_for(m_io, accept_pause);
-        else if (m_links.size() < most_links)
+        else if (m_links.size() < max_links)
             add_link(std::move(socket));
     }
 }
@@ -83,7 +84,7 @@
     const auto now = m_time.now();
     if (now < m_next_log)
         return;
-    m_next_log = now + line_interval;
+    m_next_log = now + log_interval;
     LOG(WARNING) << "event=relay_violated reason=\"" << reason
                  << "\" violations=" << m_counts.m_violations;
 }
@@ -98,10 +99,10 @@
 std::optional<frame> relay_server::read_request(const relayed_message& value,
                                                 std::string& reason) const
 {
-    auto question = decode_frame(value.m_frame, reason);
-    if (!question || may_be_relayed(question->m_body))
-        return question;
-    reason = "kind " + std::to_string(question->m_body.index()) +
+    auto request = decode_frame(value.m_frame, reason);
+    if (!request || may_be_relayed(request->m_body))
+        return request;
+    reason = "kind " + std::to_string(request->m_body.index()) +
              " may not be relayed";
     return std::nullopt;
 }
@@ -117,12 +118,12 @@
     auto* relayed = std::get_if<relayed_message>(&value.m_body);
     if (relayed == nullptr || value.m_call == 0)
     {
-        close(link, "no question to relay");
+        close(link, "not a request to relay");
         return;
     }
     std::string reason;
-    auto question = read_request(*relayed, reason);
-    if (!question)
+    auto request = read_request(*relayed, reason);
+    if (!request)
     {
         close(link, reason);
         return;
@@ -140,7 +141,7 @@
     ++m_in_flight;
     spawn(m_io, "relay_server.pass_on",
           relay_request(link, value.m_call, std::move(relayed->m_member),
-                        std::move(*question)));
+                        std::move(*request)));
 }
 
 void relay_server::handle_hello(const std::shared_ptr<frame_link>& link,
@@ -152,10 +153,10 @@
         link->send({0, 0, frame_status::ok, m_hooks.m_state()});
 }
 
-void relay_server::send_updates(const cluster_state& news)
+void relay_server::send_updates(const cluster_state& update)
 {
     for (const auto& link : std::set(m_subscribers))
-        link->send({0, 0, frame_status::ok, news});
+        link->send({0, 0, frame_status::ok, update});
 }
 
 void relay_server::reject(frame_link& link, std::uint64_t call,
@@ -167,16 +168,16 @@
 
 task<> relay_server::relay_request(std::shared_ptr<frame_link> link,
                                    std::uint64_t call, std::string member,
-                                   frame question)
+                                   frame request)
 {
-    const auto answer = co_await m_hooks.m_request(
-        member, question.m_epoch, std::move(question.m_body),
-        m_time.now() + pass_patience);
+    const auto reply = co_await m_hooks.m_request(member, request.m_epoch,
+                                                  std::move(request.m_body),
+                                                  m_time.now() + reply_timeout);
     --m_in_flight;
     if (!link->open())
         co_return;
     auto bytes =
-        answer ? encode_frame(*answer).substr(length_bytes) : std::string{};
+        reply ? encode_frame(*reply).substr(length_bytes) : std::string{};
     if (bytes.empty() || bytes.size() > max_relayed_reply_bytes)
     {
         reject(*link, call, member);
--- a/src/cluster/replica_sets.cpp
+++ b/src/cluster/replica_sets.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 
-/// All first views are written by one transaction, and stores bound those (32
-/// writes and conditions in etcd-like ones).
-constexpr std::size_t most_sets = 30;
+/// All initial views are written in one transaction, and stores limit its size
+/// (32 writes and conditions in etcd-like ones).
+constexpr std::size_t max_sets = 30;
 
-/// Also where no disk may be lost, a restart should not stop a set.
-constexpr std::size_t least_of_all = 3;
+/// Even where no disk loss must be tolerated, a restart should not stop a set.
+constexpr std::size_t min_set_size = 3;
 
-/// A write reaches a majority, and that many losses leave one.
-std::size_t least_members(std::uint32_t disk_losses)
+/// A write needs a majority, and a majority must remain after that many losses.
+std::size_t min_members(std::uint32_t disk_losses)
 {
-    return std::max(2 * std::size_t{disk_losses} + 1, least_of_all);
+    return std::max(2 * std::size_t{disk_losses} + 1, min_set_size);
 }
 
-/// Each member beyond makes writes dearer and bears no further loss; a set
-/// grows to this while the successors of lost members come in.
-std::size_t most_members(std::uint32_t disk_losses)
+/// Further members make writes more expensive and tolerate no further loss; a
+/// set grows to this size while successors of lost members join.
+std::size_t max_members(std::uint32_t disk_losses)
 {
-    return 2 * least_members(disk_losses) - 1;
+    return 2 * min_members(disk_losses) - 1;
 }
 
 std::size_t count_voters(const cluster_view& view)
@@ -51,7 +51,7 @@
 std::uint32_t set_count_for(std::size_t vms, std::uint32_t disk_losses)
 {
     const auto sets =
-        std::clamp<std::size_t>(vms / least_members(disk_losses), 1, most_sets);
+        std::clamp<std::size_t>(vms / min_members(disk_losses), 1, max_sets);
     return static_cast<std::uint32_t>(sets);
 }
 
@@ -70,7 +70,7 @@
         views[set].m_set = set;
         views[set].m_set_count = count;
     }
-    // Dealt out zone by zone: neighbours in the order go to different sets.
+    // Distributed in zone order: adjacent VMs go to different sets.
     std::sort(vms.begin(), vms.end(), [](const member& a, const member& b) {
         return std::tie(a.m_availability_zone, a.m_name) <
                std::tie(b.m_availability_zone, b.m_name);
@@ -113,9 +113,9 @@
     for (const auto& view : views)
     {
         const auto voters = count_voters(view);
-        if (voters >= most_members(disk_losses))
+        if (voters >= max_members(disk_losses))
             continue;
-        // The draw spreads VMs that come at the same time.
+        // The hash spreads VMs that arrive at the same time.
         const rank next{voters, count_in_zone(view, self.m_availability_zone),
                         hash64(self.m_name, view.m_set)};
         if (best && next >= best_rank)
--- a/src/cluster/state.cpp
+++ b/src/cluster/state.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Entries of runners that have gone are remembered, so that a VM that is
-/// behind cannot bring them back: as many as there are runners, since all of
-/// them may be replaced within seconds, and these at least.
-constexpr std::size_t least_gone_entries = 512;
-/// Several VMs tell every other one of a new configuration. Up to this size
-/// that is cheaper than asking for it.
-constexpr std::size_t most_told_config_bytes = 2048;
+/// Tombstones are kept so that a VM with older state cannot bring removed
+/// runners back: as many as there are runners, since all of them may be
+/// replaced within seconds, and at least this many.
+constexpr std::size_t min_tombstones = 512;
+/// Several VMs send each new configuration to every other VM. Up to this size
+/// that is cheaper than fetching it on request.
+constexpr std::size_t max_pushed_config_bytes = 2048;
 
 using runner_entries = std::vector<runner_entry>;
 
@@ -26,31 +26,32 @@
     return left.m_name < right.m_name;
 }
 
-/// Merges what is told of runners into a list that may be long: the work goes
-/// with what is told.
+/// Merges updates of runners into a list that may be long: the work grows with
+/// the update, not with the list.
 class runner_merge
 {
 public:
     explicit runner_merge(runner_entries& rows) : m_rows(rows) {}
 
-    void take(const runner_entry& news)
+    void apply(const runner_entry& update)
     {
-        auto* row = find_runner(m_rows, news.m_name);
+        auto* row = find_runner(m_rows, update.m_name);
         if (row == nullptr)
         {
-            m_added.push_back(news);
+            m_added.push_back(update);
             return;
         }
-        if (news.m_revision <= row->m_revision)
+        if (update.m_revision <= row->m_revision)
             return;
         const bool differs =
-            news.m_text != row->m_text || news.m_removed != row->m_removed;
-        *row = news;
+            update.m_text != row->m_text || update.m_removed != row->m_removed;
+        *row = update;
         if (differs)
-            m_changed.push_back(news.m_name);
+            m_changed.push_back(update.m_name);
     }
 
-    /// What a list lacks that is complete up to \p revision had gone by then.
+    /// Marks entries as removed that are missing from a list complete up to
+    /// \p revision.
     void drop_absent(const runner_entries& list, std::uint64_t revision)
     {
         std::vector<std::string_view> present;
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Puts the new ones in their places.
-    /// \returns names of the entries that moved
+    /// Inserts the new entries in order.
+    /// \returns names of the entries that changed
     std::vector<std::string> finish()
     {
         std::stable_sort(m_added.begin(), m_added.end(), named_before);
@@ -102,22 +103,24 @@
     std::vector<std::string> m_changed;
 };
 
-void forget_oldest_gone(cluster_state& state)
+void drop_oldest_tombstones(cluster_state& state)
 {
     auto& rows = state.m_runners;
-    std::vector<std::uint64_t> gone;
+    std::vector<std::uint64_t> removed;
     for (const auto& row : rows)
     {
         if (row.m_removed)
-            gone.push_back(row.m_revision);
+            removed.push_back(row.m_revision);
     }
-    const auto most = std::max(rows.size() - gone.size(), least_gone_entries);
-    if (gone.size() <= most)
+    const auto max_kept =
+        std::max(rows.size() - removed.size(), min_tombstones);
+    if (removed.size() <= max_kept)
         return;
-    // Half of them go, so that this is not done for each one that leaves.
+    // Half of them are dropped, so that this does not run for each removal.
     const auto newest_kept =
-        gone.begin() + static_cast<std::ptrdiff_t>(most / 2);
-    std::nth_element(gone.begin(), newest_kept, gone.end(), std::greater<>());
+        removed.begin() + static_cast<std::ptrdiff_t>(max_kept / 2);
+    std::nth_element(removed.begin(), newest_kept, removed.end(),
+                     std::greater<>());
     const auto oldest = *newest_kept;
     std::erase_if(rows, [&](const runner_entry& row) {
         return row.m_removed && row.m_revision <= oldest;
@@ -125,91 +128,94 @@
     state.m_tombstones_since = std::max(state.m_tombstones_since, oldest);
 }
 
-/// What is told continues what is known without a gap.
-bool continues(const cluster_state& state, const cluster_state& news)
+/// True if the update continues the known state without a gap.
+bool continues(const cluster_state& state, const cluster_state& update)
 {
-    return news.m_runners_since > 0 &&
-           news.m_runners_since <= state.m_runners_revision;
+    return update.m_runners_since > 0 &&
+           update.m_runners_since <= state.m_runners_revision;
 }
 
 std::vector<std::string> merge_runners(cluster_state& state,
-                                       const cluster_state& news)
+                                       const cluster_state& update)
 {
     runner_merge merge(state.m_runners);
-    bool goes = false;
-    for (const auto& row : news.m_runners)
+    bool any_removed = false;
+    for (const auto& row : update.m_runners)
     {
-        merge.take(row);
-        goes = goes || row.m_removed;
+        merge.apply(row);
+        any_removed = any_removed || row.m_removed;
     }
-    const bool whole = news.m_runners_revision > 0 && news.m_runners_since == 0;
-    if (whole)
-        merge.drop_absent(news.m_runners, news.m_runners_revision);
+    const bool complete =
+        update.m_runners_revision > 0 && update.m_runners_since == 0;
+    if (complete)
+        merge.drop_absent(update.m_runners, update.m_runners_revision);
     auto changed = merge.finish();
-    if (whole || goes)
-        forget_oldest_gone(state);
-    // Of those that came and went before, a list says nothing.
-    if (whole)
+    if (complete || any_removed)
+        drop_oldest_tombstones(state);
+    // A complete list does not show runners that were added and removed before
+    // it.
+    if (complete)
         state.m_tombstones_since =
-            std::max(state.m_tombstones_since, news.m_runners_revision);
-    if (whole || continues(state, news))
+            std::max(state.m_tombstones_since, update.m_runners_revision);
+    if (complete || continues(state, update))
         state.m_runners_revision =
-            std::max(state.m_runners_revision, news.m_runners_revision);
+            std::max(state.m_runners_revision, update.m_runners_revision);
     return changed;
 }
 
-/// The configuration, or only its revision if it is large.
-void tell_config(const cluster_state& state, cluster_state& out)
+/// Adds the configuration, or only its revision if it is large.
+void add_config(const cluster_state& state, cluster_state& out)
 {
     out.m_config_revision = state.m_config_revision;
-    if (state.m_config.size() <= most_told_config_bytes)
+    if (state.m_config.size() <= max_pushed_config_bytes)
         out.m_config = state.m_config;
 }
 
-/// True if \p news is newer than what is known of its set.
-bool take_view(std::vector<cluster_view>& views, const cluster_view& news)
+/// True if \p update is newer than the known view of its set.
+bool apply_view(std::vector<cluster_view>& views, const cluster_view& update)
 {
     const auto at =
-        std::lower_bound(views.begin(), views.end(), news.m_set,
+        std::lower_bound(views.begin(), views.end(), update.m_set,
                          [](const cluster_view& row, std::uint32_t set) {
                              return row.m_set < set;
                          });
-    if (at == views.end() || at->m_set != news.m_set)
+    if (at == views.end() || at->m_set != update.m_set)
     {
-        views.insert(at, news);
+        views.insert(at, update);
         return true;
     }
-    if (news.m_epoch <= at->m_epoch)
+    if (update.m_epoch <= at->m_epoch)
         return false;
-    *at = news;
+    *at = update;
     return true;
 }
 
-/// Takes an order of the operator's that is newer than the one about the same.
-/// \param key what an order is about; rows are in its order
+/// Applies a request of the operator that is newer than the known one for the
+/// same key.
+/// \param key what a request is about; rows are sorted by it
 template <class Order, class Key>
-bool take_order(std::vector<Order>& rows, const Order& news, Key key)
+bool apply_order(std::vector<Order>& rows, const Order& update, Key key)
 {
     const auto at =
-        std::lower_bound(rows.begin(), rows.end(), std::invoke(key, news),
-                         [&](const Order& row, const std::string& wanted) {
-                             return std::invoke(key, row) < wanted;
+        std::lower_bound(rows.begin(), rows.end(), std::invoke(key, update),
+                         [&](const Order& row, const std::string& target) {
+                             return std::invoke(key, row) < target;
                          });
-    if (at == rows.end() || std::invoke(key, *at) != std::invoke(key, news))
+    if (at == rows.end() || std::invoke(key, *at) != std::invoke(key, update))
     {
-        rows.insert(at, news);
+        rows.insert(at, update);
         return true;
     }
-    if (news.m_revision <= at->m_revision)
+    if (update.m_revision <= at->m_revision)
         return false;
-    *at = news;
+    *at = update;
     return true;
 }
 
 template <class Value>
-bool contains(const std::vector<Value>& values, const Value& wanted)
+bool contains(const std::vector<Value>& values, const Value& target)
 {
-    return std::find(values.begin(), values.end(), wanted) != values.end();
+    return std::find(values.begin(), values.end(), target) != values.end();
 }
 
 } // namespace
@@ -219,8 +225,8 @@
 {
     const auto at =
         std::lower_bound(rows.begin(), rows.end(), name,
-                         [](const runner_entry& row, std::string_view wanted) {
-                             return row.m_name < wanted;
+                         [](const runner_entry& row, std::string_view target) {
+                             return row.m_name < target;
                          });
     return at == rows.end() || at->m_name != name ? nullptr : &*at;
 }
@@ -235,32 +241,32 @@
                : &rows[static_cast<std::size_t>(found - known.data())];
 }
 
-state_change merge_state(cluster_state& state, const cluster_state& news)
+state_change merge_state(cluster_state& state, const cluster_state& update)
 {
     state_change change;
-    if (news.m_config_revision > state.m_config_revision &&
-        !news.m_config.empty())
+    if (update.m_config_revision > state.m_config_revision &&
+        !update.m_config.empty())
     {
-        state.m_config_revision = news.m_config_revision;
-        state.m_config = news.m_config;
+        state.m_config_revision = update.m_config_revision;
+        state.m_config = update.m_config;
         change.m_config = true;
     }
-    if (!news.m_runners.empty() || news.m_runners_revision > 0)
-        change.m_runners = merge_runners(state, news);
-    for (const auto& view : news.m_views)
+    if (!update.m_runners.empty() || update.m_runners_revision > 0)
+        change.m_runners = merge_runners(state, update);
+    for (const auto& view : update.m_views)
     {
-        if (take_view(state.m_views, view))
+        if (apply_view(state.m_views, view))
             change.m_views.push_back(view.m_set);
     }
-    for (const auto& row : news.m_retirements)
+    for (const auto& row : update.m_retirements)
     {
-        if (take_order(state.m_retirements, row, &retirement::m_vm))
+        if (apply_order(state.m_retirements, row, &retirement::m_vm))
             change.m_retirements.push_back(row.m_vm);
     }
-    for (const auto& row : news.m_evacuations)
+    for (const auto& row : update.m_evacuations)
     {
-        if (take_order(state.m_evacuations, row,
-                       &evacuation::m_availability_zone))
+        if (apply_order(state.m_evacuations, row,
+                        &evacuation::m_availability_zone))
             change.m_evacuations.push_back(row.m_availability_zone);
     }
     return change;
@@ -271,7 +277,7 @@
 {
     cluster_state out;
     if (change.m_config)
-        tell_config(state, out);
+        add_config(state, out);
     out.m_runners.reserve(change.m_runners.size());
     for (const auto& name : change.m_runners)
     {
@@ -299,7 +305,7 @@
 cluster_state full_state(const cluster_state& state)
 {
     cluster_state out;
-    tell_config(state, out);
+    add_config(state, out);
     out.m_runners_revision = state.m_runners_revision;
     std::copy_if(state.m_runners.begin(), state.m_runners.end(),
                  std::back_inserter(out.m_runners),
@@ -317,7 +323,7 @@
     if (!traceable)
         return full_state(state);
     cluster_state out;
-    tell_config(state, out);
+    add_config(state, out);
     out.m_runners_revision = state.m_runners_revision;
     out.m_runners_since = known;
     std::copy_if(
--- a/src/cluster/update_sources.cpp
+++ b/src/cluster/update_sources.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-/// Between one VM in the order and the next: more than a beat, so that the
-/// next one sees that somebody has begun.
+/// Delay between one VM of the watch order and the next: more than a heartbeat
+/// interval, so that the next VM sees that the previous one has taken over.
 constexpr milliseconds takeover_step{700};
-/// Several times what a list takes to a small VM; then the others are heard
-/// as well.
-constexpr milliseconds first_list_patience{1500};
-/// A VM that starts hears of the world from the storage VMs; each question
-/// to the store is priced.
-constexpr milliseconds seed_patience{700};
-/// The watchers of a large fleet read thousands of runners first, and their
-/// word passes two steps: several times what that takes.
-constexpr milliseconds large_fleet_patience{4000};
-/// Those further back wait no longer than this, since the first ones may all
-/// be gone.
-constexpr std::size_t most_steps = 4;
+/// Several times what the first list takes to a small VM; then the other
+/// sources are subscribed to as well.
+constexpr milliseconds first_list_timeout{1500};
+/// A starting VM receives the cluster state from storage VMs; each read of the
+/// platform's store costs money.
+constexpr milliseconds default_read_delay{700};
+/// The watchers of a large fleet first read thousands of runners, and their
+/// updates pass two hops: several times what that takes.
+constexpr milliseconds large_fleet_read_delay{4000};
+/// VMs further back in the order wait no longer than this many steps, since all
+/// earlier ones may have failed.
+constexpr std::size_t max_takeover_steps = 4;
 
 } // namespace
 
@@ -39,25 +39,25 @@
             zones[row.m_availability_zone].emplace_back(hash64(row.m_name),
                                                         row.m_name);
     }
-    // Place within the zone first, so that the zones take turns.
-    std::vector<std::tuple<std::size_t, std::string, std::string>> places;
+    // Sorted by position within the zone first, so that zones alternate.
+    std::vector<std::tuple<std::size_t, std::string, std::string>> positions;
     for (auto& [zone, rows] : zones)
     {
         std::sort(rows.begin(), rows.end());
-        for (std::size_t place = 0; place < rows.size(); ++place)
-            places.emplace_back(place, zone, rows[place].second);
+        for (std::size_t position = 0; position < rows.size(); ++position)
+            positions.emplace_back(position, zone, rows[position].second);
     }
-    std::sort(places.begin(), places.end());
+    std::sort(positions.begin(), positions.end());
     std::vector<std::string> out;
-    out.reserve(places.size());
-    for (auto& [place, zone, name] : places)
+    out.reserve(positions.size());
+    for (auto& [position, zone, name] : positions)
         out.push_back(std::move(name));
     return out;
 }
 
 std::vector<std::string> storage_sources(const std::vector<member>& members,
                                          const std::string& self,
-                                         std::size_t most_direct)
+                                         std::size_t max_direct)
 {
     const auto order = watch_order(members);
     const auto direct = std::min(order.size(), watch_candidates);
@@ -66,7 +66,7 @@
     const auto own =
         std::find_if(members.begin(), members.end(),
                      [&](const member& row) { return row.m_name == self; });
-    if (members.size() <= most_direct || own == members.end())
+    if (members.size() <= max_direct || own == members.end())
         return watchers;
     std::map<std::string, std::string> zones;
     for (const auto& row : members)
@@ -78,10 +78,10 @@
             zones[name] == own->m_availability_zone)
             relays.push_back(name);
     }
-    const auto tells = [&](const std::vector<std::string>& names) {
+    const auto includes_self = [&](const std::vector<std::string>& names) {
         return std::find(names.begin(), names.end(), self) != names.end();
     };
-    return tells(watchers) || tells(relays) ? watchers : relays;
+    return includes_self(watchers) || includes_self(relays) ? watchers : relays;
 }
 
 bool should_watch(const watch_facts& facts)
@@ -91,20 +91,23 @@
         return true;
     if (facts.m_fresh_watchers >= min_watchers)
         return false;
-    const auto steps = std::min(position - watcher_count + 1, most_steps);
+    const auto steps =
+        std::min(position - watcher_count + 1, max_takeover_steps);
     return facts.m_too_few_for >= steps * takeover_step;
 }
 
-milliseconds store_read_delay(bool large_fleet, bool hears_storage)
+milliseconds store_read_delay(bool large_fleet, bool storage_reachable)
 {
-    return large_fleet && hears_storage ? large_fleet_patience : seed_patience;
+    return large_fleet && storage_reachable ? large_fleet_read_delay
+                                            : default_read_delay;
 }
 
 std::size_t target_source_count(const subscriber_facts& facts)
 {
-    const bool alone = facts.m_large_fleet && !facts.m_received_full_state &&
-                       facts.m_since_start < first_list_patience;
-    return alone ? 1 : source_count;
+    const bool single_source = facts.m_large_fleet &&
+                               !facts.m_received_full_state &&
+                               facts.m_since_start < first_list_timeout;
+    return single_source ? 1 : source_count;
 }
 
 std::vector<std::string>
@@ -125,7 +128,7 @@
     ranked.resize(std::min(ranked.size(), source_count));
     std::vector<std::string> out;
     out.reserve(ranked.size());
-    for (auto& [far, draw, name] : ranked)
+    for (auto& [distance, hash, name] : ranked)
         out.push_back(std::move(name));
     return out;
 }
--- a/src/cluster/view.cpp
+++ b/src/cluster/view.cpp
@@ -26,14 +26,14 @@
     return std::max(disk_losses + 1, voters / 2 + 1);
 }
 
-/// Any so many full members share one with every set that acknowledged a
-/// write.
+/// Any set of this many full members overlaps with every set that acknowledged
+/// a write.
 std::uint32_t read_quorum(std::uint32_t voters, std::uint32_t full,
                           std::uint32_t disk_losses)
 {
     const auto write = write_quorum(voters, disk_losses);
-    // With fewer voters than copies no write is acknowledged, and whoever
-    // joins copies from every full member.
+    // With fewer voters than copies no write is acknowledged, and a joining
+    // member copies from every full one.
     return write > voters ? std::max(full, 1U) : voters - write + 1;
 }
 
@@ -108,15 +108,15 @@
     const auto voters = count_in(view, member_state::joining) +
                         count_in(view, member_state::full);
     const auto all = static_cast<std::uint32_t>(view.m_members.size());
-    // Whoever is lost already takes nothing off the copies that a write needs:
-    // it may only be down, and the disk that is lost with what a VM
-    // acknowledged alone be the last one's. With fewer voters than copies the
-    // set rests until a member is back or another one joins.
+    // A lost member does not reduce the number of copies that a write needs: it
+    // may only be down, and the next disk to be lost may hold the only copy of
+    // what a VM acknowledged alone. With fewer voters than copies the set
+    // accepts no writes until a member returns or another one joins.
     const auto lost = count_in(view, member_state::lost);
     quorum_sizes out;
     out.m_write = write_quorum(voters, disk_losses);
     const auto full = count_in(view, member_state::full);
-    // Lost ones may have counted until a moment ago.
+    // Lost members may have counted until a moment ago.
     out.m_read = std::max(read_quorum(voters, full, disk_losses),
                           read_quorum(voters + lost, full, disk_losses));
     const auto leaving = count_in(view, member_state::leaving);
@@ -148,8 +148,8 @@
                               found->m_state == member_state::leaving ||
                               found->m_intact;
         found->m_state = state;
-        // Who becomes lost before it has its copies still lacks them when it
-        // is back.
+        // A member that is lost before it has its copies still lacks them when
+        // it returns.
         found->m_intact = held_all && !takes_writes(state);
     }
     return view;
@@ -182,10 +182,10 @@
     const auto full = count_in(after, member_state::full);
     if (full < disk_losses + 2 || count_in(after, member_state::joining) > 0)
         return false;
-    // A write may have been acknowledged by the evicted member and one less
-    // than a quorum of the others; the smaller read quorum must still meet
-    // one of these. It does whenever the write quorum shrinks as well, that
-    // is, from an even number of members.
+    // A write may have been acknowledged by the evicted member and one fewer
+    // than a quorum of the others; the smaller read quorum must still include
+    // one of these. It does whenever the write quorum shrinks as well, that is,
+    // from an even number of members.
     const auto before = static_cast<std::uint32_t>(view.m_members.size());
     return write_quorum(full, disk_losses) < write_quorum(before, disk_losses);
 }
@@ -200,7 +200,8 @@
 
 const member* collector_of(const cluster_view& view, std::uint32_t disk_losses)
 {
-    // Copying everything is dear: only when no further loss would be borne.
+    // Copying everything is expensive: only when no further loss would be
+    // tolerated.
     const auto lost = count_in(view, member_state::lost);
     if (lost == 0 || lost < disk_losses ||
         count_in(view, member_state::full) < disk_losses + 1)
