--- a/test/cluster/test_dialing.cpp
+++ b/test/cluster/test_dialing.cpp
@@ -7,16 +7,16 @@
 
 using namespace pepperturn;
 
-/// Dials a member that comes up at \p up_at after this VM, and says nothing
-/// until then.
-/// \returns how long after that it is met
-milliseconds dial_until_met(milliseconds up_at)
+/// Connects to a member that starts \p up_at after this VM and does not answer
+/// before.
+/// \returns how long after its start the member is reached
+milliseconds time_to_connect(milliseconds up_at)
 {
     milliseconds now{0};
     unsigned failures = 0;
     while (true)
     {
-        // A packet that is sent to a VM without power is lost.
+        // A packet sent to a VM without power is lost.
         if (now >= up_at)
             return now - up_at;
         const auto times = choose_dial_times({now, failures});
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("members that start together meet soon", "[dialing]")
+TEST_CASE("members that start together connect quickly", "[dialing]")
 {
     struct row
     {
@@ -36,19 +36,20 @@
         milliseconds m_up_at;
         milliseconds m_within;
     };
-    // A small part of the time in which service is to be back.
+    // A small part of the time within which service must be restored.
     const auto each = GENERATE(values<row>({
-        {"a little later", milliseconds(100), milliseconds(100)},
-        {"some tenths later", milliseconds(450), milliseconds(100)},
+        {"shortly after", milliseconds(100), milliseconds(100)},
+        {"tenths of a second later", milliseconds(450), milliseconds(100)},
         {"a second later", milliseconds(1001), milliseconds(100)},
         {"two seconds later", milliseconds(2003), milliseconds(100)},
         {"much later", milliseconds(60000), milliseconds(600)},
     }));
     INFO(each.m_what);
-    CHECK(dial_until_met(each.m_up_at) <= each.m_within);
+    CHECK(time_to_connect(each.m_up_at) <= each.m_within);
 }
 
-TEST_CASE("members that stay away are dialled ever less often", "[dialing]")
+TEST_CASE("the retry interval grows for members that remain unreachable",
+          "[dialing]")
 {
     struct row
     {
--- a/test/cluster/test_membership.cpp
+++ b/test/cluster/test_membership.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("which view a storage VM asks for", "[membership]")
+TEST_CASE("which view a storage VM requests", "[membership]")
 {
     auto bootstrap = facts_of("a");
     bootstrap.m_bootstrap = true;
@@ -58,8 +58,8 @@
     caught_up.m_caught_up_at = epoch;
     auto caught_up_before = facts_of("b");
     caught_up_before.m_caught_up_at = epoch - 1;
-    auto sees_silent = facts_of("a");
-    sees_silent.m_unresponsive = {"d"};
+    auto sees_unresponsive = facts_of("a");
+    sees_unresponsive.m_unresponsive = {"d"};
     auto retire = facts_of("c");
     retire.m_retire = true;
     auto retire_copied = retire;
@@ -72,14 +72,14 @@
     not_gathered.m_copied_by = {"b"};
     auto gathered = not_gathered;
     gathered.m_caught_up_at = epoch;
-    auto retire_beside_silent = retire;
-    retire_beside_silent.m_unresponsive = {"b"};
-    auto cut_off = facts_of("b");
-    cut_off.m_unreachable = {"a", "c"};
-    auto hears_one = facts_of("b");
-    hears_one.m_unreachable = {"a"};
-    auto joins_beside_silent = facts_of("e");
-    joins_beside_silent.m_unresponsive = {"d"};
+    auto retire_beside_unresponsive = retire;
+    retire_beside_unresponsive.m_unresponsive = {"b"};
+    auto partitioned = facts_of("b");
+    partitioned.m_unreachable = {"a", "c"};
+    auto reaches_one = facts_of("b");
+    reaches_one.m_unreachable = {"a"};
+    auto joins_beside_unresponsive = facts_of("e");
+    joins_beside_unresponsive.m_unresponsive = {"d"};
 
     struct sample
     {
@@ -89,15 +89,18 @@
         std::string m_expected;
     };
     const std::vector<sample> samples{
-        {"a first start makes the view", {}, bootstrap, "aF"},
-        {"nothing is made before the store was read", {}, unknown, "-"},
-        {"an empty view at a later start is no view", {}, facts_of("a"), "-"},
+        {"the first start creates the view", {}, bootstrap, "aF"},
+        {"nothing is created before the store was read", {}, unknown, "-"},
+        {"an empty view at a later start is not trusted",
+         {},
+         facts_of("a"),
+         "-"},
         {"a new one joins", view_of({row("a", full)}), facts_of("b"), "aFbJ"},
-        {"one joins after the other",
+        {"members join one at a time",
          view_of({row("a", full), row("b", joining)}), facts_of("c"), "-"},
         {"an empty disk joins again",
          view_of({row("a", full), row("b", full, 6)}), facts_of("b"), "aFbJ"},
-        {"an empty disk says so while another one joins",
+        {"an empty disk is marked lost while another one joins",
          view_of({row("a", full), row("b", full, 6), row("c", joining)}),
          facts_of("b"), "aFbXcJ"},
         {"a retiring one whose disk was lost joins first",
@@ -105,74 +108,74 @@
          retire, "aFbFcJ"},
         {"a joining one waits for its copies",
          view_of({row("a", full), row("b", joining)}), facts_of("b"), "-"},
-        {"copies of an earlier epoch do not count",
+        {"copies made in an earlier epoch do not count",
          view_of({row("a", full), row("b", joining)}), caught_up_before, "-"},
-        {"with its copies it is full",
+        {"with its copies it becomes full",
          view_of({row("a", full), row("b", joining)}), caught_up, "aFbF"},
-        {"a silent one goes",
+        {"an unresponsive one is removed",
          view_of(
              {row("a", full), row("b", full), row("c", full), row("d", full)}),
-         sees_silent, "aFbFcF"},
-        {"a silent one that is needed is taken for lost",
-         view_of({row("a", full), row("b", full), row("d", full)}), sees_silent,
-         "aFbFdX"},
-        {"also where only one is left",
-         view_of({row("a", full), row("d", full)}), sees_silent, "aFdX"},
-        {"a lost one stays while too few are left to drop it",
+         sees_unresponsive, "aFbFcF"},
+        {"an unresponsive one that is needed is marked lost",
+         view_of({row("a", full), row("b", full), row("d", full)}),
+         sees_unresponsive, "aFbFdX"},
+        {"also if only one is left", view_of({row("a", full), row("d", full)}),
+         sees_unresponsive, "aFdX"},
+        {"a lost one remains while too few are left to remove it",
          view_of({row("a", full), row("d", lost)}), gathered, "-"},
-        {"a lost one stays until its copies are gathered",
+        {"a lost one remains until its copies are gathered",
          view_of({row("a", full), row("b", full), row("d", lost)}),
          not_gathered, "-"},
-        {"and everybody has them",
+        {"and until all members have them",
          view_of(
              {row("a", full), row("b", full), row("c", full), row("d", lost)}),
          gathered, "-"},
-        {"then it goes",
+        {"then it is removed",
          view_of({row("a", full), row("b", full), row("d", lost)}), gathered,
          "aFbF"},
-        {"only the gathering member knows",
+        {"only the gathering member decides",
          view_of({row("a", full), row("b", full), row("d", lost)}), caught_up,
          "-"},
-        {"a lost one that is back copies like a new one",
+        {"a lost one that returns copies like a new one",
          view_of({row("a", full), row("b", lost)}), facts_of("b"), "aFbJ"},
-        {"not while it hears nobody",
-         view_of({row("a", full), row("b", lost), row("c", full)}), cut_off,
+        {"not while it reaches nobody",
+         view_of({row("a", full), row("b", lost), row("c", full)}), partitioned,
          "-"},
         {"one to copy from is enough",
-         view_of({row("a", full), row("b", lost), row("c", full)}), hears_one,
+         view_of({row("a", full), row("b", lost), row("c", full)}), reaches_one,
          "aFbJcF"},
         {"a joining one becomes full before it retires",
          view_of({row("a", full), row("b", full), row("c", joining)}),
          retire_caught_up, "aFbFcF"},
-        {"the last two do not retire",
+        {"one of the last two does not retire",
          view_of({row("a", full), row("c", full)}), retire, "-"},
-        {"beside a lost one it may",
+        {"with a lost one beside it may",
          view_of(
              {row("a", full), row("b", full), row("c", full), row("d", lost)}),
          retire, "aFbFcLdX"},
-        {"one after the other",
+        {"members retire one at a time",
          view_of({row("a", full), row("b", full), row("c", full),
                   row("d", leaving)}),
          retire, "-"},
-        {"nor while one of the others is silent, which it sees to",
+        {"nor while another one is unresponsive, which it marks lost",
          view_of({row("a", full), row("b", full), row("c", full)}),
-         retire_beside_silent, "aFbXcF"},
-        {"who waits to join drops a silent joining one",
+         retire_beside_unresponsive, "aFbXcF"},
+        {"a VM that waits to join removes an unresponsive joining one",
          view_of({row("a", full), row("b", full), row("c", full),
                   row("d", joining)}),
-         joins_beside_silent, "aFbFcF"},
-        {"a retiring one says so",
+         joins_beside_unresponsive, "aFbFcF"},
+        {"a retiring one starts to leave",
          view_of({row("a", full), row("b", full), row("c", full)}), retire,
          "aFbFcL"},
-        {"it waits for every copy",
+        {"it waits until all have copied its data",
          view_of({row("a", full), row("b", full), row("c", leaving)}),
          retire_half, "-"},
-        {"then it goes",
+        {"then it is removed",
          view_of({row("a", full), row("b", full), row("c", leaving)}),
          retire_copied, "aFbF"},
-        {"it does not come back", view_of({row("a", full), row("b", full)}),
+        {"it does not rejoin", view_of({row("a", full), row("b", full)}),
          retire, "-"},
-        {"taken back, it copies like a new one",
+        {"if the retirement is withdrawn, it copies like a new one",
          view_of({row("a", full), row("b", full), row("c", leaving)}),
          facts_of("c"), "aFbFcJ"},
     };
@@ -196,7 +199,7 @@
     CHECK_FALSE(is_emptied(view_of({row("a", full)}), facts));
 }
 
-TEST_CASE("who copies", "[membership]")
+TEST_CASE("which members copy", "[membership]")
 {
     const auto view =
         view_of({row("a", full), row("b", joining), row("c", leaving)});
@@ -214,7 +217,7 @@
         should_copy(view_of({row("a", full), row("c", lost)}), "a", 0, 1));
 }
 
-TEST_CASE("whom to copy from", "[membership]")
+TEST_CASE("which members to copy from", "[membership]")
 {
     auto new_one = row("j", joining);
     new_one.m_intact = true;
@@ -232,7 +235,7 @@
          view_of({row("a", full), row("b", full), row("j", joining)}),
          "j",
          {{}, {"a", "b"}, 2, false}},
-        {"a new one needs what was there before it",
+        {"a new one needs the writes from before it joined",
          view_of({row("a", full), row("b", full), new_one}),
          "j",
          {{}, {"a", "b"}, 1, false}},
@@ -240,15 +243,15 @@
          view_of({row("a", full), row("b", lost), new_one}),
          "j",
          {{}, {"a"}, 1, false}},
-        {"and all of what leaves",
+        {"and all data of a leaving one",
          view_of({row("a", full), row("b", full), row("c", leaving), new_one}),
          "j",
          {{"c"}, {"a", "b"}, 1, false}},
-        {"a full one copies from what leaves",
+        {"a full one copies from a leaving one",
          view_of({row("a", full), row("b", full), row("c", leaving)}),
          "a",
          {{"c"}, {}, 0, false}},
-        {"one gathers what everybody holds",
+        {"one gathers the data of all others",
          view_of({row("a", full), row("b", full), row("c", leaving),
                   row("d", lost)}),
          "a",
@@ -261,11 +264,11 @@
          view_of({row("a", full), returned, row("j", joining)}),
          "j",
          {{"a", "r"}, {}, 0, false}},
-        {"two emptied disks are more than are borne",
+        {"two emptied disks are more than is tolerated",
          view_of({row("a", full), row("b", joining), row("j", joining)}),
          "j",
          {{}, {"a"}, 2, false}},
-        {"the others take it from there",
+        {"the others copy from the gathering one",
          view_of({row("a", full), row("b", full), row("d", lost)}),
          "b",
          {{"a"}, {}, 0, true}},
--- a/test/cluster/test_reach_decisions.cpp
+++ b/test/cluster/test_reach_decisions.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("neighbours are drawn in the own zone and outside", "[reach]")
+TEST_CASE("relay peers are chosen in the own zone and in others", "[reach]")
 {
     struct row
     {
@@ -58,29 +58,29 @@
         {"two in each of two zones", make_fleet(2, 4), 1, 2},
     }));
     INFO(each.m_what);
-    const auto drawn = choose_relay_peers(each.m_candidates, "edge-0", "a");
+    const auto chosen = choose_relay_peers(each.m_candidates, "edge-0", "a");
     const auto near =
-        std::count_if(drawn.begin(), drawn.end(), [](const neighbour& who) {
-            return who.m_availability_zone == "a";
+        std::count_if(chosen.begin(), chosen.end(), [](const neighbour& peer) {
+            return peer.m_availability_zone == "a";
         });
     CHECK(static_cast<std::size_t>(near) == each.m_near);
-    CHECK(drawn.size() == each.m_near + each.m_far);
-    CHECK(std::none_of(drawn.begin(), drawn.end(), [](const neighbour& who) {
-        return who.m_name == "edge-0" || who.m_address.empty();
+    CHECK(chosen.size() == each.m_near + each.m_far);
+    CHECK(std::none_of(chosen.begin(), chosen.end(), [](const neighbour& peer) {
+        return peer.m_name == "edge-0" || peer.m_address.empty();
     }));
 }
 
-TEST_CASE("no VM is drawn by a large part of the fleet", "[reach]")
+TEST_CASE("no VM is chosen by a large part of the fleet", "[reach]")
 {
     const auto fleet = make_fleet(4, 76);
-    std::map<std::string, int> drawn;
-    for (const auto& asker : fleet)
+    std::map<std::string, int> chosen;
+    for (const auto& requester : fleet)
     {
-        for (const auto& who :
-             choose_relay_peers(fleet, asker.m_name, asker.m_availability_zone))
-            ++drawn[who.m_name];
+        for (const auto& peer : choose_relay_peers(
+                 fleet, requester.m_name, requester.m_availability_zone))
+            ++chosen[peer.m_name];
     }
-    for (const auto& [name, count] : drawn)
+    for (const auto& [name, count] : chosen)
     {
         INFO(name);
         // Six on average; a fifth of the fleet is far from that.
@@ -88,51 +88,52 @@
     }
 }
 
-TEST_CASE("who else is there changes few of the drawn neighbours", "[reach]")
+TEST_CASE("the loss of a relay peer leaves the other choices unchanged",
+          "[reach]")
 {
     auto fleet = make_fleet(4, 76);
     const auto before = choose_relay_peers(fleet, "edge-0", "a");
-    std::erase_if(fleet, [&](const neighbour& who) {
-        return who.m_name == before.front().m_name;
+    std::erase_if(fleet, [&](const neighbour& peer) {
+        return peer.m_name == before.front().m_name;
     });
     const auto after = choose_relay_peers(fleet, "edge-0", "a");
     const auto kept =
-        std::count_if(before.begin(), before.end(), [&](const neighbour& who) {
-            return std::find(after.begin(), after.end(), who) != after.end();
+        std::count_if(before.begin(), before.end(), [&](const neighbour& peer) {
+            return std::find(after.begin(), after.end(), peer) != after.end();
         });
     CHECK(static_cast<std::size_t>(kept) == before.size() - 1);
 }
 
-TEST_CASE("which neighbour is asked next", "[reach]")
+TEST_CASE("which relay peer is tried next", "[reach]")
 {
     struct row
     {
         const char* m_what;
-        std::vector<relay_peer_facts> m_rows;
+        std::vector<relay_peer_facts> m_peers;
         std::string m_zone_of_next;
     };
     const auto each = GENERATE(values<row>({
-        {"nobody is known", {}, ""},
+        {"no peer is known", {}, ""},
         {"the own zone first", {{"x", "b"}, {"y", "a"}}, "a"},
         {"then another zone, though its own has more",
          {{"x", "a", true}, {"y", "a"}, {"z", "b"}},
          "b"},
-        {"its own again where no other is left",
+        {"its own again if no other is left",
          {{"x", "a", true}, {"y", "a"}, {"z", "b", true}},
          "a"},
-        {"one that failed is left alone",
+        {"one that failed is skipped",
          {{"x", "a", false, 0, at(1)}, {"y", "b"}},
          "b"},
-        {"one that does not reach the member, too",
+        {"one that does not reach the member as well",
          {{"x", "a", false, 0, {}, at(1)}, {"y", "b"}},
          "b"},
-        {"both for a moment only",
+        {"both for a limited time",
          {{"x", "a", false, 0, at(0), at(-5)}, {"y", "b"}},
          "a"},
-        {"one with a few questions more is as good",
+        {"one with a few more pending requests is as good",
          {{"x", "a", false, requests_per_load_step - 1}, {"y", "b"}},
          "a"},
-        {"a busy one gives way to a farther one",
+        {"a farther one is preferred to a busy one",
          {{"x", "a", false, requests_per_load_step}, {"y", "b"}},
          "b"},
         {"the less busy one of two that are busy",
@@ -142,12 +143,12 @@
         {"none is left", {{"x", "a", true}, {"y", "b", false, 0, at(9)}}, ""},
     }));
     INFO(each.m_what);
-    const auto next = next_relay_peer(each.m_rows, "member", "a", at(0));
-    CHECK((next ? each.m_rows[*next].m_availability_zone : "") ==
+    const auto next = next_relay_peer(each.m_peers, "member", "a", at(0));
+    CHECK((next ? each.m_peers[*next].m_availability_zone : "") ==
           each.m_zone_of_next);
 }
 
-TEST_CASE("members are spread over the neighbours of a zone", "[reach]")
+TEST_CASE("members are spread over the relay peers of a zone", "[reach]")
 {
     const std::vector<relay_peer_facts> rows{{"x", "a"}, {"y", "a"}};
     std::size_t first = 0;
@@ -160,56 +161,56 @@
     CHECK(first < 75);
 }
 
-TEST_CASE("when a member is asked on its own link", "[reach]")
+TEST_CASE("when a member is reached on its direct link", "[reach]")
 {
     struct row
     {
         const char* m_what;
         link_facts m_facts;
-        bool m_reached;
+        bool m_reachable;
         bool m_probed;
     };
     const auto each = GENERATE(values<row>({
-        {"heard", {true, false, at(-700)}, true, false},
-        {"a beat is late", {true, false, at(-900)}, true, true},
+        {"recently received", {true, false, at(-700)}, true, false},
+        {"a heartbeat is late", {true, false, at(-900)}, true, true},
         {"no connection", {false, false, at(-10)}, false, true},
-        {"a question went unanswered", {true, true, at(-300)}, false, true},
-        {"two beats missed", {true, false, at(-1200)}, false, true},
+        {"a request timed out", {true, true, at(-300)}, false, true},
+        {"two heartbeats missed", {true, false, at(-1200)}, false, true},
     }));
     INFO(each.m_what);
-    CHECK(is_reachable(each.m_facts, at(0)) == each.m_reached);
+    CHECK(is_reachable(each.m_facts, at(0)) == each.m_reachable);
     CHECK(needs_probe(each.m_facts, at(0)) == each.m_probed);
 }
 
-TEST_CASE("when a question goes round a silent link", "[reach]")
+TEST_CASE("when a request on an unresponsive link is relayed", "[reach]")
 {
     struct row
     {
         const char* m_what;
-        instant m_answered;
-        milliseconds m_patience;
+        instant m_replied;
+        milliseconds m_timeout;
         bool m_silent;
     };
-    // Asked 100 ms ago; a beat came 10 ms ago each time.
+    // Each request was sent 100 ms ago, and a heartbeat arrived 10 ms ago.
     const auto each = GENERATE(values<row>({
-        {"a caller has time", at(-200), milliseconds(3000), false},
-        {"a grant is waited for shortly", at(-200), milliseconds(50), true},
-        {"another question was answered since", at(-50), milliseconds(50),
+        {"a long timeout", at(-200), milliseconds(3000), false},
+        {"a short timeout", at(-200), milliseconds(50), true},
+        {"another request was answered since", at(-50), milliseconds(50),
          false},
         {"just long enough", at(-200), milliseconds(200), true},
     }));
     INFO(each.m_what);
-    const link_facts facts{true, false, at(-10), each.m_answered};
-    CHECK(is_unresponsive(facts, at(-100), direct_timeout_for(each.m_patience),
+    const link_facts facts{true, false, at(-10), each.m_replied};
+    CHECK(is_unresponsive(facts, at(-100), direct_timeout_for(each.m_timeout),
                           at(0)) == each.m_silent);
 }
 
-TEST_CASE("only what a caller's request needs is relayed", "[reach]")
+TEST_CASE("only messages that a caller's request needs are relayed", "[reach]")
 {
     struct row
     {
         frame_body m_body;
-        bool m_may;
+        bool m_allowed;
     };
     const auto each = GENERATE(values<row>({
         {begin_message{}, true},
@@ -232,7 +233,7 @@
         {quota_reply{}, false},
     }));
     INFO(each.m_body.index());
-    CHECK(may_be_relayed(each.m_body) == each.m_may);
+    CHECK(may_be_relayed(each.m_body) == each.m_allowed);
 }
 
 TEST_CASE("a VM relays up to its budget", "[reach]")
@@ -241,30 +242,30 @@
     {
         const char* m_what;
         std::size_t m_bytes;
-        std::size_t m_answer;
+        std::size_t m_reply;
         int m_between_ms;
-        int m_taken;
+        int m_admitted;
     };
-    // Ten questions a second and four at once; 1,000 bytes each.
+    // Ten requests per second and bursts of four; 1,000 bytes each.
     const relay_limits limits{10, 4, 1000, 1000, 8};
     const auto each = GENERATE(values<row>({
         {"a burst", 1, 0, 0, 4},
-        {"at the pace", 1, 0, 100, 20},
-        {"at twice the pace", 1, 0, 50, 13},
-        {"a large question", 1001, 0, 1000, 0},
-        {"as many bytes as there are", 500, 0, 0, 2},
-        {"a large answer is paid off first", 1, 3000, 100, 1},
+        {"at the sustained rate", 1, 0, 100, 20},
+        {"at twice the sustained rate", 1, 0, 50, 13},
+        {"a large request", 1001, 0, 1000, 0},
+        {"all bytes of the burst", 500, 0, 0, 2},
+        {"a large reply is paid off first", 1, 3000, 100, 1},
     }));
     INFO(each.m_what);
     relay_budget budget;
-    int taken = 0;
+    int admitted = 0;
     for (int i = 0; i < 20; ++i)
     {
         if (!admit_relayed_request(budget, limits, each.m_bytes,
                                    at(0) + i * milliseconds(each.m_between_ms)))
             continue;
-        ++taken;
-        charge_reply(budget, each.m_answer);
+        ++admitted;
+        charge_reply(budget, each.m_reply);
     }
-    CHECK(taken == each.m_taken);
+    CHECK(admitted == each.m_admitted);
 }
--- a/test/cluster/test_replica_sets.cpp
+++ b/test/cluster/test_replica_sets.cpp
@@ -26,7 +26,7 @@
     return out;
 }
 
-/// Views whose sets have so many members each.
+/// Views whose sets have the given numbers of members.
 std::vector<cluster_view> views_of(const std::vector<int>& sizes)
 {
     std::vector<cluster_view> out;
@@ -69,9 +69,10 @@
     CHECK(set_count_for(each.m_vms, each.m_losses) == each.m_expected);
 }
 
-TEST_CASE("a fleet is founded with even sets over all zones", "[replica_sets]")
+TEST_CASE("initial sets are of even size and spread over all zones",
+          "[replica_sets]")
 {
-    CHECK(rc::check("founding", [] {
+    CHECK(rc::check("initial views", [] {
         const auto losses = *rc::gen::inRange(0U, 4U);
         const auto zones = *rc::gen::inRange(1, 6);
         const auto count = *rc::gen::inRange(1, 80);
@@ -95,7 +96,8 @@
                 ++seen[row.m_name];
                 ++in_zone[row.m_availability_zone];
             }
-            // No zone has two more of a set than it needs to have.
+            // No zone holds two more members of a set than an even spread
+            // needs.
             const int even = (count + zones - 1) / zones;
             const int share = (even + static_cast<int>(views.size()) - 1) /
                               static_cast<int>(views.size());
@@ -119,8 +121,8 @@
     };
     const auto each = GENERATE(values<row>({
         {"fewest members", {5, 4, 5}, 1},
-        {"all have as many as are of use", {9, 9, 9}, std::nullopt},
-        {"one has room", {9, 8, 9}, 1},
+        {"all are as large as is useful", {9, 9, 9}, std::nullopt},
+        {"one is not full", {9, 8, 9}, 1},
         {"no set is known", {}, std::nullopt},
     }));
     INFO(each.m_what);
@@ -128,7 +130,8 @@
           each.m_expected);
 }
 
-TEST_CASE("members that are lost or leave make room", "[replica_sets]")
+TEST_CASE("lost and leaving members do not count towards the size",
+          "[replica_sets]")
 {
     const auto state = GENERATE(member_state::lost, member_state::leaving);
     auto views = views_of({5, 5, 5});
@@ -145,7 +148,8 @@
     CHECK(set_to_join(views, self, 2) == 1);
 }
 
-TEST_CASE("VMs that come at once spread over equal sets", "[replica_sets]")
+TEST_CASE("VMs that arrive at the same time spread over equal sets",
+          "[replica_sets]")
 {
     const auto views = views_of({5, 5, 5, 5, 5, 5, 5});
     std::map<std::uint32_t, int> chosen;
--- a/test/cluster/test_state.cpp
+++ b/test/cluster/test_state.cpp
@@ -17,7 +17,7 @@
     return out;
 }
 
-/// Names of the runners that have not gone, with their texts.
+/// Names and texts of the runners, without tombstones.
 std::map<std::string, std::string> alive(const cluster_state& state)
 {
     std::map<std::string, std::string> out;
@@ -29,42 +29,43 @@
     return out;
 }
 
-/// What a store held at each revision: runners come, change and go.
+/// Contents of a store at each revision: runners are added, changed and
+/// removed.
 struct history
 {
     std::vector<std::map<std::string, runner_entry>> m_at;
-    /// The entry that each revision moved.
-    std::vector<runner_entry> m_moved;
+    /// The entry that each revision changed.
+    std::vector<runner_entry> m_changed;
 };
 
-history draw_history()
+history random_history()
 {
     history out;
     out.m_at.emplace_back();
-    out.m_moved.emplace_back();
+    out.m_changed.emplace_back();
     const auto steps = *rc::gen::inRange<std::uint64_t>(1, 30);
     for (std::uint64_t revision = 1; revision <= steps; ++revision)
     {
         auto next = out.m_at.back();
         const auto name = "r-" + std::to_string(*rc::gen::inRange(0, 6));
-        const bool goes = next.contains(name) && *rc::gen::arbitrary<bool>();
-        const runner_entry row{name, goes ? "" : std::to_string(revision),
-                               revision, goes};
-        if (goes)
+        const bool removes = next.contains(name) && *rc::gen::arbitrary<bool>();
+        const runner_entry row{name, removes ? "" : std::to_string(revision),
+                               revision, removes};
+        if (removes)
             next.erase(name);
         else
             next[name] = row;
         out.m_at.push_back(std::move(next));
-        out.m_moved.push_back(row);
+        out.m_changed.push_back(row);
     }
     return out;
 }
 
-cluster_state list_at(const history& truth, std::uint64_t revision)
+cluster_state list_at(const history& expected, std::uint64_t revision)
 {
     cluster_state out;
     out.m_runners_revision = revision;
-    for (const auto& [name, row] : truth.m_at[revision])
+    for (const auto& [name, row] : expected.m_at[revision])
         out.m_runners.push_back(row);
     return out;
 }
@@ -77,24 +78,24 @@
     state.m_config_revision = 4;
     state.m_config = "four";
     state.m_runners_revision = 10;
-    cluster_state news;
-    news.m_config_revision = 3;
-    news.m_config = "three";
-    news.m_runners_revision = 11;
-    news.m_runners = {{"r", "text", 9}};
-    const auto change = merge_state(state, news);
+    cluster_state update;
+    update.m_config_revision = 3;
+    update.m_config = "three";
+    update.m_runners_revision = 11;
+    update.m_runners = {{"r", "text", 9}};
+    const auto change = merge_state(state, update);
     CHECK(change == state_change{.m_runners = {"r"}});
     CHECK(state.m_config == "four");
     CHECK(state.m_runners.size() == 1);
-    CHECK_FALSE(merge_state(state, news).any());
+    CHECK_FALSE(merge_state(state, update).any());
     const auto parts = changed_parts(state, change);
     CHECK(parts.m_config_revision == 0);
-    CHECK(parts.m_runners == news.m_runners);
-    // Some entries say nothing of the others.
+    CHECK(parts.m_runners == update.m_runners);
+    // A partial list does not claim to be complete.
     CHECK(parts.m_runners_revision == 0);
 }
 
-TEST_CASE("an entry moves forward, whoever tells of it", "[state]")
+TEST_CASE("an entry only moves forward, whoever sends it", "[state]")
 {
     struct row
     {
@@ -112,24 +113,24 @@
          whole(0, {{"a", "a0", 2}}),
          {{"a", "a"}, {"b", "b"}},
          false},
-        {"gone", whole(0, {{"a", "", 7, true}}), {{"b", "b"}}, true},
-        {"gone before it came back",
+        {"removed", whole(0, {{"a", "", 7, true}}), {{"b", "b"}}, true},
+        {"removed before it was added again",
          whole(0, {{"a", "", 4, true}}),
          {{"a", "a"}, {"b", "b"}},
          false},
-        {"back before it went",
+        {"added before it was removed",
          whole(0, {{"c", "c", 5}}),
          {{"a", "a"}, {"b", "b"}},
          false},
-        {"back after it went",
+        {"added after it was removed",
          whole(0, {{"c", "c", 7}}),
          {{"a", "a"}, {"b", "b"}, {"c", "c"}},
          true},
-        {"lacks what came before the list",
+        {"missing, written before the list",
          whole(5, {{"b", "b", 6}}),
          {{"b", "b"}},
          true},
-        {"lacks what came after the list",
+        {"missing, written after the list",
          whole(4, {{"b", "b", 6}}),
          {{"a", "a"}, {"b", "b"}},
          false},
@@ -142,36 +143,36 @@
     CHECK(alive(state) == each.m_alive);
 }
 
-TEST_CASE("news of many VMs in any order end in the same list",
+TEST_CASE("updates of many VMs in any order result in the same list",
           "[state][property]")
 {
-    CHECK(rc::check("order of news", [] {
-        const auto truth = draw_history();
-        const auto last = truth.m_at.size() - 1;
-        std::vector<cluster_state> news;
+    CHECK(rc::check("order of updates", [] {
+        const auto expected = random_history();
+        const auto last = expected.m_at.size() - 1;
+        std::vector<cluster_state> updates;
         for (std::uint64_t revision = 1; revision <= last; ++revision)
-            news.push_back(whole(0, {truth.m_moved[revision]}));
+            updates.push_back(whole(0, {expected.m_changed[revision]}));
         const auto lists = *rc::gen::inRange(0, 5);
         for (int i = 0; i < lists; ++i)
-            news.push_back(
-                list_at(truth, *rc::gen::inRange<std::uint64_t>(1, last + 1)));
+            updates.push_back(list_at(
+                expected, *rc::gen::inRange<std::uint64_t>(1, last + 1)));
         cluster_state state;
-        while (!news.empty())
+        while (!updates.empty())
         {
-            const auto at = *rc::gen::inRange<std::size_t>(0, news.size());
-            const auto change = merge_state(state, news[at]);
-            // What is passed on brings another VM as far.
+            const auto at = *rc::gen::inRange<std::size_t>(0, updates.size());
+            const auto change = merge_state(state, updates[at]);
+            // A forwarded update contains only entries that changed here.
             for (const auto& row : changed_parts(state, change).m_runners)
                 RC_ASSERT(std::find(change.m_runners.begin(),
                                     change.m_runners.end(),
                                     row.m_name) != change.m_runners.end());
-            news.erase(news.begin() + static_cast<std::ptrdiff_t>(at));
+            updates.erase(updates.begin() + static_cast<std::ptrdiff_t>(at));
         }
-        RC_ASSERT(alive(state) == alive(list_at(truth, last)));
+        RC_ASSERT(alive(state) == alive(list_at(expected, last)));
     }));
 }
 
-TEST_CASE("a change of one runner is told as one entry", "[state]")
+TEST_CASE("a change of one runner is sent as one entry", "[state]")
 {
     cluster_state state;
     std::vector<runner_entry> rows;
@@ -188,31 +189,30 @@
     CHECK(parts.m_views.empty());
 }
 
-TEST_CASE("a large configuration is announced, a small one told", "[state]")
+TEST_CASE("a large configuration is announced, a small one is sent", "[state]")
 {
     const bool large = GENERATE(false, true);
     cluster_state state;
-    cluster_state news;
-    news.m_config_revision = 5;
-    news.m_config = std::string(large ? 100000 : 100, 'x');
-    const auto change = merge_state(state, news);
+    cluster_state update;
+    update.m_config_revision = 5;
+    update.m_config = std::string(large ? 100000 : 100, 'x');
+    const auto change = merge_state(state, update);
     CHECK(change.m_config);
-    for (const auto& told : {changed_parts(state, change), full_state(state)})
+    for (const auto& sent : {changed_parts(state, change), full_state(state)})
     {
-        CHECK(told.m_config_revision == 5);
-        CHECK(told.m_config.empty() == large);
+        CHECK(sent.m_config_revision == 5);
+        CHECK(sent.m_config.empty() == large);
     }
-    // An announcement is no configuration.
+    // An announcement without text does not replace the configuration.
     cluster_state other;
     CHECK(merge_state(other, changed_parts(state, change)).m_config == !large);
 }
 
-TEST_CASE("entries that have gone are forgotten in the end, oldest first",
-          "[state]")
+TEST_CASE("tombstones are dropped eventually, oldest first", "[state]")
 {
     cluster_state state;
-    constexpr std::uint64_t gone_count = 5000;
-    for (std::uint64_t i = 1; i <= gone_count; ++i)
+    constexpr std::uint64_t removed_count = 5000;
+    for (std::uint64_t i = 1; i <= removed_count; ++i)
     {
         const auto name = "r-" + std::to_string(i);
         merge_state(state, whole(0, {{name, "text", 2 * i}}));
@@ -220,47 +220,50 @@
     }
     CHECK(state.m_runners.size() < 600);
     CHECK(count_runners(state) == 0);
-    // The last ones stay gone for a VM that is behind.
-    merge_state(state, whole(0, {{"r-5000", "text", 2 * gone_count}}));
+    // The latest tombstones still protect against updates of a VM that is
+    // behind.
+    merge_state(state, whole(0, {{"r-5000", "text", 2 * removed_count}}));
     CHECK(count_runners(state) == 0);
 }
 
-TEST_CASE("orders about zones move forward, whoever tells of them", "[state]")
+TEST_CASE("evacuations only move forward, whoever sends them", "[state]")
 {
     cluster_state state;
-    cluster_state news;
-    news.m_evacuations = {{"z", 5, false}, {"a", 6, false}};
-    auto change = merge_state(state, news);
+    cluster_state update;
+    update.m_evacuations = {{"z", 5, false}, {"a", 6, false}};
+    auto change = merge_state(state, update);
     CHECK(change.m_evacuations == std::vector<std::string>{"z", "a"});
     CHECK(changed_parts(state, change).m_evacuations == state.m_evacuations);
     CHECK(full_state(state).m_evacuations == state.m_evacuations);
     CHECK(evacuated_zones(state) == std::vector<std::string>{"a", "z"});
-    // Two operators: the later write counts, however late the earlier comes.
-    news.m_evacuations = {{"z", 8, true}, {"a", 4, true}};
-    change = merge_state(state, news);
+    // Two operators: the later write wins, however late the earlier one
+    // arrives.
+    update.m_evacuations = {{"z", 8, true}, {"a", 4, true}};
+    change = merge_state(state, update);
     CHECK(change.m_evacuations == std::vector<std::string>{"z"});
-    news.m_evacuations = {{"z", 7, false}};
-    CHECK_FALSE(merge_state(state, news).any());
+    update.m_evacuations = {{"z", 7, false}};
+    CHECK_FALSE(merge_state(state, update).any());
     CHECK(evacuated_zones(state) == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("the work of a change goes with what changed", "[state]")
+TEST_CASE("the cost of a merge grows with the update, not with the state",
+          "[state]")
 {
-    // Texts too long to be kept within a row: whoever moves or copies a row
-    // shows by where its text lies, or by where the row lies.
+    // Texts too long for the small-string buffer: whether a row was moved or
+    // copied shows by the address of its text or of the row itself.
     const auto fleet = GENERATE(250, 1000);
     const std::string text(100, 't');
     const auto name = [](int i) { return "runner-" + std::to_string(i); };
-    cluster_state news;
-    news.m_runners_revision = 10;
+    cluster_state update;
+    update.m_runners_revision = 10;
     for (int i = 0; i < fleet; ++i)
-        news.m_runners.push_back({name(i), text, 5});
+        update.m_runners.push_back({name(i), text, 5});
     cluster_state state;
-    CHECK(merge_state(state, news).m_runners.size() ==
+    CHECK(merge_state(state, update).m_runners.size() ==
           static_cast<std::size_t>(fleet));
-    std::map<std::string, std::pair<const void*, const void*>> places;
+    std::map<std::string, std::pair<const void*, const void*>> addresses;
     for (const auto& row : state.m_runners)
-        places[row.m_name] = {&row, row.m_text.data()};
+        addresses[row.m_name] = {&row, row.m_text.data()};
     cluster_state delta;
     delta.m_runners = {{name(7), text + "new", 11}, {name(9), "", 12, true}};
     const auto change = merge_state(state, delta);
@@ -268,7 +271,7 @@
     std::size_t touched = 0;
     for (const auto& row : state.m_runners)
         touched +=
-            places.at(row.m_name) ==
+            addresses.at(row.m_name) ==
                     std::pair<const void*, const void*>{&row, row.m_text.data()}
                 ? 0
                 : 1;
@@ -276,26 +279,26 @@
     CHECK(changed_parts(state, change).m_runners.size() == 2);
 }
 
-TEST_CASE("as many that went are remembered as there are runners", "[state]")
+TEST_CASE("as many tombstones are kept as there are runners", "[state]")
 {
     const auto fleet = GENERATE(300, 1200);
     cluster_state state;
     std::uint64_t revision = 0;
-    const auto tell = [&](const std::string& name, bool gone) {
-        cluster_state news;
-        news.m_runners = {{name, gone ? "" : "text", ++revision, gone}};
-        merge_state(state, news);
+    const auto apply = [&](const std::string& name, bool removed) {
+        cluster_state update;
+        update.m_runners = {{name, removed ? "" : "text", ++revision, removed}};
+        merge_state(state, update);
     };
     const auto name = [](int i) { return "runner-" + std::to_string(i); };
     for (int i = 0; i < fleet; ++i)
-        tell(name(i), false);
+        apply(name(i), false);
     // Half of them are replaced.
     for (int i = 0; i < fleet / 2; ++i)
     {
-        tell(name(fleet + i), false);
-        tell(name(i), true);
+        apply(name(fleet + i), false);
+        apply(name(i), true);
     }
-    // Whoever is behind cannot bring one back.
+    // An update of a VM that is behind cannot bring one back.
     for (int i = 0; i < fleet / 2; ++i)
     {
         cluster_state old;
@@ -307,16 +310,17 @@
           static_cast<std::size_t>(std::max(3 * fleet, 1024 + fleet)));
 }
 
-TEST_CASE("entries that go on from what is known are complete", "[state]")
+TEST_CASE("a list that continues the known state is complete", "[state]")
 {
     cluster_state state;
     merge_state(state, whole(10, {{"a", "a", 5}}));
-    cluster_state news;
-    news.m_runners = {{"b", "b", 12}};
-    news.m_runners_since = GENERATE(10, 11);
-    news.m_runners_revision = 12;
-    merge_state(state, news);
+    cluster_state update;
+    update.m_runners = {{"b", "b", 12}};
+    update.m_runners_since = GENERATE(10, 11);
+    update.m_runners_revision = 12;
+    merge_state(state, update);
     CHECK(alive(state).size() == 2);
-    // After a gap it is not known what is missing.
-    CHECK(state.m_runners_revision == (news.m_runners_since == 10 ? 12U : 10U));
+    // After a gap it is unknown what is missing.
+    CHECK(state.m_runners_revision ==
+          (update.m_runners_since == 10 ? 12U : 10U));
 }
--- a/test/cluster/test_update_sources.cpp
+++ b/test/cluster/test_update_sources.cpp
@@ -10,7 +10,7 @@
 
 using namespace pepperturn;
 
-/// VMs of some zones, as many in each.
+/// Storage VMs of several zones, the same number in each.
 std::vector<member> some_members(int zones, int in_zone)
 {
     std::vector<member> out;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the first to watch are of different zones", "[news_sources]")
+TEST_CASE("the first watchers are in different zones", "[news_sources]")
 {
     auto members = some_members(5, 7);
     const auto order = watch_order(members);
@@ -37,7 +37,7 @@
     for (std::size_t i = 0; i < 5; ++i)
         zones.insert(order[i].front());
     CHECK(zones.size() == 5);
-    // Whatever order they are told in.
+    // The order of the input does not matter.
     std::reverse(members.begin(), members.end());
     CHECK(watch_order(members) == order);
 }
@@ -47,17 +47,17 @@
 {
     auto members = some_members(1, 6);
     auto expected = watch_order(members);
-    const auto gone = expected[1];
-    std::erase(expected, gone);
+    const auto lost_vm = expected[1];
+    std::erase(expected, lost_vm);
     for (auto& row : members)
     {
-        if (row.m_name == gone)
+        if (row.m_name == lost_vm)
             row.m_state = member_state::lost;
     }
     CHECK(watch_order(members) == expected);
 }
 
-TEST_CASE("who watches the store", "[news_sources]")
+TEST_CASE("which storage VMs watch the store", "[news_sources]")
 {
     struct row
     {
@@ -68,13 +68,19 @@
     const auto each = GENERATE(values<row>({
         {"the first", {0, 0, milliseconds(0)}, true},
         {"the last of the watchers", {2, 2, milliseconds(0)}, true},
-        {"the next one, while enough watch", {3, 2, milliseconds(9000)}, false},
+        {"the next one, with enough watchers",
+         {3, 2, milliseconds(9000)},
+         false},
         {"the next one, at once", {3, 1, milliseconds(0)}, false},
-        {"the next one, a little later", {3, 1, milliseconds(700)}, true},
-        {"one further back gives it time", {4, 1, milliseconds(700)}, false},
-        {"and then does it too", {4, 1, milliseconds(1400)}, true},
-        {"far back, soon", {30, 0, milliseconds(2700)}, false},
-        {"far back, after all", {30, 0, milliseconds(2800)}, true},
+        {"the next one, after one step", {3, 1, milliseconds(700)}, true},
+        {"the one after it waits longer", {4, 1, milliseconds(700)}, false},
+        {"and then watches as well", {4, 1, milliseconds(1400)}, true},
+        {"far back, before the maximum delay",
+         {30, 0, milliseconds(2700)},
+         false},
+        {"far back, after the maximum delay",
+         {30, 0, milliseconds(2800)},
+         true},
         {"outside all sets", {std::nullopt, 2, milliseconds(0)}, false},
         {"outside all sets, nobody watches",
          {std::nullopt, 0, milliseconds(2800)},
@@ -84,14 +90,14 @@
     CHECK(should_watch(each.m_facts) == each.m_expected);
 }
 
-TEST_CASE("the world is heard from near VMs, each VM's own choice",
+TEST_CASE("update sources are near, and each VM has its own choice",
           "[news_sources]")
 {
     const auto members = some_members(5, 7);
     const auto all = [](const std::string&) { return true; };
     std::map<std::string, int> chosen;
-    constexpr int listeners = 52;
-    for (int i = 0; i < listeners; ++i)
+    constexpr int subscribers = 52;
+    for (int i = 0; i < subscribers; ++i)
     {
         const auto sources =
             choose_sources(members, "edge-" + std::to_string(i), "c", all);
@@ -104,10 +110,10 @@
     }
     CHECK(chosen.size() == 7);
     for (const auto& [name, count] : chosen)
-        CHECK(count < listeners);
+        CHECK(count < subscribers);
 }
 
-TEST_CASE("far VMs stand in for near ones that are away", "[news_sources]")
+TEST_CASE("far VMs replace near ones that are disconnected", "[news_sources]")
 {
     const auto members = some_members(2, 2);
     const auto sources =
@@ -119,7 +125,7 @@
     CHECK(sources[2].front() == 'b');
 }
 
-TEST_CASE("the watchers tell as many, however many storage VMs there are",
+TEST_CASE("the subscribers of a watcher do not grow with the fleet",
           "[news_sources]")
 {
     const auto per_zone = GENERATE(20, 80);
@@ -132,18 +138,18 @@
     }
     const auto watchers = storage_sources(members, "nobody", 48);
     CHECK(watchers.size() == watch_candidates);
-    std::map<std::string, std::size_t> listeners;
+    std::map<std::string, std::size_t> subscribers;
     for (const auto& row : members)
     {
         const auto sources = storage_sources(members, row.m_name, 48);
         CHECK(sources.size() >= relays_per_zone);
         for (const auto& name : sources)
-            ++listeners[name];
+            ++subscribers[name];
     }
     for (const auto& name : watchers)
-        CHECK(listeners[name] <= 5 * relays_per_zone + watch_candidates +
-                                     static_cast<std::size_t>(per_zone));
-    // Nobody hears it from further than two steps behind the watchers.
+        CHECK(subscribers[name] <= 5 * relays_per_zone + watch_candidates +
+                                       static_cast<std::size_t>(per_zone));
+    // Nobody is more than two hops behind the watchers.
     std::set<std::string> relays;
     for (const auto& row : members)
     {
@@ -152,34 +158,34 @@
     }
     for (const auto& name : relays)
         CHECK(storage_sources(members, name, 48) == watchers);
-    // While they are few, all hear the watchers.
+    // Up to the limit all subscribe to the watchers.
     for (const auto& row : members)
         CHECK(storage_sources(members, row.m_name, members.size()) == watchers);
 }
 
-TEST_CASE("how many sources an edge VM hears", "[news_sources]")
+TEST_CASE("how many sources an edge VM subscribes to", "[news_sources]")
 {
     struct sample
     {
         subscriber_facts m_facts;
-        std::size_t m_wanted;
+        std::size_t m_expected;
     };
     const auto each = GENERATE(values<sample>({
         {{false, false, milliseconds(0)}, source_count},
         {{true, false, milliseconds(0)}, 1},
         {{true, true, milliseconds(0)}, source_count},
-        // The first one says nothing.
+        // The first source has sent nothing in time.
         {{true, false, milliseconds(1500)}, source_count},
     }));
-    CHECK(target_source_count(each.m_facts) == each.m_wanted);
+    CHECK(target_source_count(each.m_facts) == each.m_expected);
 }
 
-TEST_CASE("an edge VM that starts leaves the store to others for a while",
+TEST_CASE("a starting edge VM waits before it reads the store itself",
           "[news_sources]")
 {
     const milliseconds usual = store_read_delay(false, true);
     CHECK(store_read_delay(false, false) == usual);
-    // Nobody is there who could tell it.
+    // No storage VM is reachable that could send it.
     CHECK(store_read_delay(true, false) == usual);
     CHECK(store_read_delay(true, true) >= 4 * usual);
 }
--- a/test/cluster/test_view.cpp
+++ b/test/cluster/test_view.cpp
@@ -48,7 +48,7 @@
     return state == member_state::full;
 }
 
-/// Every subset of \p from with \p count members.
+/// All subsets of \p from with \p count members.
 std::vector<std::uint32_t> subsets(std::uint32_t from, std::uint32_t count)
 {
     std::vector<std::uint32_t> out;
@@ -79,7 +79,7 @@
         {{full, full, joining}, 1, {2, 2, 2}},
         {{full, full, full, full}, 1, {3, 2, 2}},
         {{full, full, full, joining}, 1, {3, 2, 2}},
-        // What leaves may be the second that tells what was before.
+        // The leaving member can be the second one that knows earlier writes.
         {{full, full, full, leaving}, 1, {2, 2, 2}},
         {{full, full, leaving}, 1, {2, 1, 2}},
         {{full, lost, leaving}, 1, {2, 1, 2}},
@@ -90,8 +90,8 @@
         // source of copies.
         {{full, joining}, 2, {3, 1, 1}},
         {{full, full, joining}, 2, {3, 1, 1}},
-        // One of the losses has happened: as many copies are still needed,
-        // since the next disk that is lost may be one that holds them.
+        // One of the tolerated losses has happened: as many copies are still
+        // needed, since the next disk to be lost may be one that holds them.
         {{full, lost}, 1, {2, 1, 1}},
         {{full, full, lost}, 1, {2, 2, 2}},
         {{full, joining, lost}, 1, {2, 2, 2}},
@@ -104,9 +104,10 @@
     CHECK(quorums_of(view_of(each.m_states), each.m_losses) == each.m_expected);
 }
 
-TEST_CASE("each read quorum meets each write quorum", "[view]")
+TEST_CASE("each read quorum overlaps with each write quorum", "[view]")
 {
-    // Also when the disk of the joining member was lost: it does not count.
+    // Also when the disk of the joining member is lost: it is not part of read
+    // quorums.
     for (const std::uint32_t losses : {0U, 1U, 2U})
     {
         for (std::size_t size = 1; size <= 9; ++size)
@@ -135,7 +136,8 @@
 TEST_CASE("evicting a member loses no write", "[view]")
 {
     // A write acknowledged before by any quorum, without its copy on the
-    // evicted member, still meets every read quorum of the smaller view.
+    // evicted member, still overlaps with every read quorum of the smaller
+    // view.
     for (const std::uint32_t losses : {1U, 2U})
     {
         for (std::size_t size = 2; size <= 9; ++size)
@@ -157,7 +159,7 @@
     }
 }
 
-TEST_CASE("who may be evicted", "[view]")
+TEST_CASE("which members may be evicted", "[view]")
 {
     struct sample
     {
@@ -167,9 +169,9 @@
     };
     const auto each = GENERATE(values<sample>({
         {{full, full, full, full}, 1, true},
-        // Too few would stay.
+        // Too few would remain.
         {{full, full, full}, 1, false},
-        // From an odd number the read quorum would not shrink with it.
+        // With an odd number of members the read quorum would not shrink.
         {{full, full, full, full, full}, 1, false},
         {{full, full, full, joining}, 1, false},
         {{joining, full, full, full}, 1, true},
@@ -182,13 +184,14 @@
     CHECK_FALSE(may_evict(view_of(each.m_states), "nobody", 1));
 }
 
-TEST_CASE("who may be taken for lost, and who gathers what it had", "[view]")
+TEST_CASE("which members may be marked lost, and which one gathers their data",
+          "[view]")
 {
     struct sample
     {
         std::vector<member_state> m_states;
         std::uint32_t m_losses;
-        bool m_may_abandon;
+        bool m_may_mark_lost;
         std::string m_collector;
     };
     const auto each = GENERATE(values<sample>({
@@ -201,11 +204,11 @@
         {{full, joining, lost}, 1, false, ""},
         {{lost, full, full}, 1, false, "m1"},
         {{full, full, full, lost, lost}, 2, false, "m0"},
-        // Another loss would be borne.
+        // Another loss would be tolerated.
         {{full, full, full, full, lost}, 2, true, ""},
     }));
     const auto view = view_of(each.m_states);
-    CHECK(may_mark_lost(view, "m0", each.m_losses) == each.m_may_abandon);
+    CHECK(may_mark_lost(view, "m0", each.m_losses) == each.m_may_mark_lost);
     const auto* collector = collector_of(view, each.m_losses);
     CHECK((collector == nullptr ? "" : collector->m_name) == each.m_collector);
 }
--- a/test/cluster/test_view_histories.cpp
+++ b/test/cluster/test_view_histories.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Random histories of views, writes, copies and losses, decided by the real
-/// functions. Whatever was acknowledged must be seen by every read quorum, and
-/// once the losses are over the members must get going again by themselves.
+/// Random histories of views, writes, copies and losses, decided by the
+/// production functions. Every read quorum must see all acknowledged writes,
+/// and once the losses are over the members must recover without help.
 #include "pepperturn/cluster/membership.hpp"
 
 #include "support/fleet/member_letters.hpp"
@@ -22,22 +22,22 @@
 {
     std::uint64_t m_disk = 0;
     bool m_alive = true;
-    /// It hears the platform's store, and no other VM hears it.
-    bool m_cut = false;
-    /// Its disk was emptied, and it has not its copies yet.
+    /// Partitioned: it reaches the platform's store, but no other VM.
+    bool m_partitioned = false;
+    /// Its disk was emptied, and it does not have its copies yet.
     bool m_wiped = false;
     bool m_retire = false;
-    /// Long enough for the others to act on it.
-    bool m_silent_long = false;
-    std::set<int> m_held;
+    /// It has been unresponsive long enough for the others to act.
+    bool m_unresponsive_long = false;
+    std::set<int> m_writes;
     std::uint64_t m_caught_up_at = 0;
     std::uint64_t m_gathered_at = 0;
-    /// Epoch in which all of another one's holdings were copied.
+    /// Epoch in which all data of another VM was copied.
     std::map<std::string, std::uint64_t> m_copied_at;
     std::map<std::string, std::uint64_t> m_copied_by;
 };
 
-/// The storage VMs of a fleet; news of a new view reach all at once.
+/// The storage VMs of a fleet; a new view reaches all of them at once.
 class fleet
 {
 public:
@@ -78,10 +78,10 @@
             const auto& other = m_vms.at(row.m_name);
             if (row.m_name == name)
                 continue;
-            // Whoever hears nobody takes nobody for silent.
-            if (other.m_silent_long && !vm.m_cut)
+            // A VM that reaches nobody treats nobody as unresponsive.
+            if (other.m_unresponsive_long && !vm.m_partitioned)
                 facts.m_unresponsive.insert(row.m_name);
-            if (vm.m_cut || other.m_cut || !other.m_alive)
+            if (vm.m_partitioned || other.m_partitioned || !other.m_alive)
                 facts.m_unreachable.insert(row.m_name);
         }
         auto next = desired_view(m_view, facts);
@@ -89,10 +89,10 @@
             return;
         next->m_epoch = m_view.m_epoch + 1;
         m_view = *std::move(next);
-        m_trace += name + " decides: " + text() + "| ";
+        m_trace += name + " changes the view: " + describe() + "| ";
     }
 
-    /// One of the copies that \p name needs, from \p source.
+    /// Copies from \p source to \p name if its copy plan needs that.
     void copy(const std::string& name, const std::string& source)
     {
         auto& vm = m_vms.at(name);
@@ -106,10 +106,10 @@
         };
         auto& from = m_vms.at(source);
         if ((in(plan.m_required) || in(plan.m_any)) && from.m_alive &&
-            !from.m_cut && !vm.m_cut && is_member(source) &&
+            !from.m_partitioned && !vm.m_partitioned && is_member(source) &&
             (!plan.m_gathered || from.m_gathered_at == epoch))
         {
-            vm.m_held.insert(from.m_held.begin(), from.m_held.end());
+            vm.m_writes.insert(from.m_writes.begin(), from.m_writes.end());
             vm.m_copied_at[source] = epoch;
             from.m_copied_by[name] = epoch;
         }
@@ -140,7 +140,7 @@
             if ((mask >> i & 1U) == 0 || !answers(row) ||
                 !takes_writes(row.m_state))
                 continue;
-            m_vms.at(row.m_name).m_held.insert(id);
+            m_vms.at(row.m_name).m_writes.insert(id);
             ++count;
         }
         const bool kept = count >= quorums_of(m_view, m_disk_losses).m_write;
@@ -153,23 +153,23 @@
         return kept;
     }
 
-    /// Losses that count now: whoever is down or has not its copies yet.
+    /// Current losses: VMs that are down or do not have their copies yet.
     [[nodiscard]] std::uint32_t losses() const
     {
         std::uint32_t count = 0;
         for (const auto& [name, vm] : m_vms)
         {
-            if (m_gone.contains(name))
+            if (m_replaced.contains(name))
                 continue;
             const auto* row = find_member(m_view, name);
             const bool whole = row != nullptr && is_member(name) &&
                                row->m_state == member_state::full;
             const bool leaves = row == nullptr && vm.m_retire;
-            if (!vm.m_alive || vm.m_cut || (!whole && !leaves))
+            if (!vm.m_alive || vm.m_partitioned || (!whole && !leaves))
                 ++count;
         }
-        // A removed VM counts until it is out of the view.
-        for (const auto& name : m_gone)
+        // A permanently lost VM counts until it is out of the view.
+        for (const auto& name : m_replaced)
             count += find_member(m_view, name) != nullptr ? 1 : 0;
         return count;
     }
@@ -177,54 +177,54 @@
     void kill(const std::string& name, bool wipe, bool for_good)
     {
         auto& vm = m_vms.at(name);
-        if (m_gone.contains(name) || !may_be_lost(wipe || for_good))
+        if (m_replaced.contains(name) || !may_be_lost(wipe || for_good))
             return;
         vm.m_alive = false;
-        vm.m_silent_long = false;
+        vm.m_unresponsive_long = false;
         m_trace += name + (wipe ? " wiped" : " down") +
                    (for_good ? " for good| " : "| ");
         if (wipe)
             wipe_disk(vm);
         if (for_good)
         {
-            m_gone.insert(name);
+            m_replaced.insert(name);
             add();
         }
     }
-    void cut(const std::string& name)
+    void partition(const std::string& name)
     {
-        if (m_gone.contains(name) || !may_be_lost(false))
+        if (m_replaced.contains(name) || !may_be_lost(false))
             return;
-        m_vms.at(name).m_cut = true;
+        m_vms.at(name).m_partitioned = true;
         m_trace += name + " cut| ";
     }
-    /// From now on more may be away at once than are borne, as long as no more
-    /// disks are lost.
+    /// From now on more VMs may be down at once than are tolerated, as long as
+    /// no more disks are lost.
     void allow_overlaps()
     {
         m_overlaps = true;
     }
     void revive(const std::string& name)
     {
-        if (m_gone.contains(name))
+        if (m_replaced.contains(name))
             return;
         auto& vm = m_vms.at(name);
-        m_trace += vm.m_alive && !vm.m_cut ? "" : name + " back| ";
+        m_trace += vm.m_alive && !vm.m_partitioned ? "" : name + " back| ";
         vm.m_alive = true;
-        vm.m_cut = false;
-        vm.m_silent_long = false;
+        vm.m_partitioned = false;
+        vm.m_unresponsive_long = false;
     }
-    void grow_silent(const std::string& name)
+    void exceed_timeout(const std::string& name)
     {
         auto& vm = m_vms.at(name);
-        vm.m_silent_long = !vm.m_alive || vm.m_cut;
+        vm.m_unresponsive_long = !vm.m_alive || vm.m_partitioned;
     }
     void retire(const std::string& name)
     {
         m_vms.at(name).m_retire = true;
     }
 
-    /// Everything that the members do by themselves, until nothing changes.
+    /// Runs everything the members do on their own until nothing changes.
     void settle()
     {
         constexpr int rounds = 40;
@@ -239,17 +239,17 @@
         }
     }
 
-    /// The losses are over: whoever is not gone for good is back.
+    /// Ends the losses: all VMs that are not permanently lost return.
     void recover()
     {
         for (const auto& name : names())
             revive(name);
         for (const auto& name : names())
-            grow_silent(name);
+            exceed_timeout(name);
         settle();
     }
 
-    /// Every read quorum that answers sees every acknowledged write.
+    /// True if every read quorum that replies sees every acknowledged write.
     [[nodiscard]] bool sees_all() const
     {
         std::vector<const std::set<int>*> readers;
@@ -263,7 +263,7 @@
                 continue;
             if (row.m_state == member_state::full)
                 full |= 1U << readers.size();
-            readers.push_back(&m_vms.at(row.m_name).m_held);
+            readers.push_back(&m_vms.at(row.m_name).m_writes);
         }
         for (std::uint32_t set = 0; set < 1U << readers.size(); ++set)
         {
@@ -274,7 +274,7 @@
         return true;
     }
 
-    /// Turns can be begun and kept.
+    /// True if turns can be begun and stored.
     [[nodiscard]] bool serves() const
     {
         int full = 0;
@@ -300,21 +300,21 @@
             out.push_back(name);
         return out;
     }
-    /// Everything that may matter for what comes next; epochs and disks only
-    /// by whether they are the current ones.
+    /// Everything that can influence later steps; epochs and disks only by
+    /// whether they are current.
     [[nodiscard]] std::string digest() const
     {
         const auto epoch = m_view.m_epoch;
-        std::string out = text();
+        std::string out = describe();
         for (const auto& [name, vm] : m_vms)
         {
             out += name;
             for (const bool flag :
-                 {vm.m_alive, vm.m_cut, vm.m_wiped, vm.m_retire,
-                  vm.m_silent_long, is_member(name), vm.m_caught_up_at == epoch,
-                  vm.m_gathered_at == epoch})
+                 {vm.m_alive, vm.m_partitioned, vm.m_wiped, vm.m_retire,
+                  vm.m_unresponsive_long, is_member(name),
+                  vm.m_caught_up_at == epoch, vm.m_gathered_at == epoch})
                 out += flag ? '1' : '0';
-            for (const int id : vm.m_held)
+            for (const int id : vm.m_writes)
                 out += 'w' + std::to_string(id);
             for (const auto& [other, at] : vm.m_copied_at)
                 out += at == epoch ? '<' + other : "";
@@ -337,7 +337,7 @@
     {
         return m_trace;
     }
-    [[nodiscard]] std::string text() const
+    [[nodiscard]] std::string describe() const
     {
         std::string out;
         for (const auto& row : m_view.m_members)
@@ -355,7 +355,7 @@
     {
         std::string out;
         for (const auto& [name, vm] : m_vms)
-            out += vm.m_held.contains(id) ? name + ' ' : "";
+            out += vm.m_writes.contains(id) ? name + ' ' : "";
         return out;
     }
     [[nodiscard]] bool is_read_quorum(int full, int all) const
@@ -372,15 +372,15 @@
     [[nodiscard]] bool answers(const member& row) const
     {
         const auto& vm = m_vms.at(row.m_name);
-        return vm.m_alive && !vm.m_cut && is_member(row.m_name);
+        return vm.m_alive && !vm.m_partitioned && is_member(row.m_name);
     }
-    /// Disks whose copies are not made up for yet.
+    /// Lost disks whose copies have not been restored yet.
     [[nodiscard]] std::uint32_t lost_disks() const
     {
         std::uint32_t count = 0;
         for (const auto& [name, vm] : m_vms)
         {
-            if (m_gone.contains(name))
+            if (m_replaced.contains(name))
                 count += find_member(m_view, name) != nullptr ? 1 : 0;
             else if (vm.m_wiped)
             {
@@ -416,7 +416,7 @@
     {
         vm.m_disk = ++m_last_disk;
         vm.m_wiped = true;
-        vm.m_held.clear();
+        vm.m_writes.clear();
         vm.m_caught_up_at = 0;
         vm.m_gathered_at = 0;
         vm.m_copied_at.clear();
@@ -427,16 +427,16 @@
     std::string m_trace;
     cluster_view m_view;
     std::map<std::string, storage_vm> m_vms;
-    std::set<std::string> m_gone;
+    std::set<std::string> m_replaced;
     std::set<int> m_acknowledged;
     std::uint64_t m_last_disk = 0;
     int m_next_write = 0;
     bool m_overlaps = false;
 };
 
-void play_step(fleet& world, std::size_t most_retiring)
+void random_step(fleet& cluster, std::size_t max_retiring)
 {
-    const auto names = world.names();
+    const auto names = cluster.names();
     const auto name = *rc::gen::elementOf(names);
     switch (*rc::gen::weightedElement<int>({{6, 0},
                                             {6, 1},
@@ -449,38 +449,38 @@
                                             {1, 8}}))
     {
     case 0:
-        world.write(*rc::gen::arbitrary<std::uint32_t>());
+        cluster.write(*rc::gen::arbitrary<std::uint32_t>());
         break;
     case 1:
-        world.copy(name, *rc::gen::elementOf(names));
+        cluster.copy(name, *rc::gen::elementOf(names));
         break;
     case 2:
-        world.decide(name);
+        cluster.decide(name);
         break;
     case 3:
-        world.kill(name, *rc::gen::arbitrary<bool>(), false);
+        cluster.kill(name, *rc::gen::arbitrary<bool>(), false);
         break;
     case 4:
-        world.grow_silent(name);
+        cluster.exceed_timeout(name);
         break;
     case 5:
-        world.revive(name);
+        cluster.revive(name);
         break;
     case 6:
-        if (world.retiring() < most_retiring)
-            world.retire(name);
+        if (cluster.retiring() < max_retiring)
+            cluster.retire(name);
         break;
     case 7:
         if (names.size() < 9)
-            world.kill(name, *rc::gen::arbitrary<bool>(), true);
+            cluster.kill(name, *rc::gen::arbitrary<bool>(), true);
         break;
     case 8:
-        world.cut(name);
+        cluster.partition(name);
         break;
     }
 }
 
-/// Every state that one step leads to.
+/// All states that one step leads to.
 std::vector<fleet> next_states(const fleet& from)
 {
     std::vector<fleet> out;
@@ -493,29 +493,30 @@
     // One write, to any members, at any time.
     const bool writes = from.writes() == 0;
     for (std::uint32_t mask = 1; writes && mask < 1U << names.size(); ++mask)
-        step([&](fleet& world) { world.write(mask); });
+        step([&](fleet& cluster) { cluster.write(mask); });
     for (const auto& name : names)
     {
-        step([&](fleet& world) { world.decide(name); });
-        step([&](fleet& world) { world.kill(name, false, false); });
-        step([&](fleet& world) { world.kill(name, true, false); });
-        step([&](fleet& world) { world.cut(name); });
-        step([&](fleet& world) { world.revive(name); });
-        step([&](fleet& world) { world.grow_silent(name); });
+        step([&](fleet& cluster) { cluster.decide(name); });
+        step([&](fleet& cluster) { cluster.kill(name, false, false); });
+        step([&](fleet& cluster) { cluster.kill(name, true, false); });
+        step([&](fleet& cluster) { cluster.partition(name); });
+        step([&](fleet& cluster) { cluster.revive(name); });
+        step([&](fleet& cluster) { cluster.exceed_timeout(name); });
         for (const auto& other : names)
-            step([&](fleet& world) { world.copy(name, other); });
+            step([&](fleet& cluster) { cluster.copy(name, other); });
     }
     return out;
 }
 
-/// Once the losses are over, turns are served by all that was acknowledged.
-void check_recovery(fleet& world)
+/// Once the losses are over, turns are served with all acknowledged writes
+/// visible.
+void check_recovery(fleet& cluster)
 {
-    world.recover();
-    if (!world.serves())
-        RC_FAIL("stands still: " + world.trace());
-    if (!world.sees_all())
-        RC_FAIL("hidden: " + world.trace());
+    cluster.recover();
+    if (!cluster.serves())
+        RC_FAIL("no progress: " + cluster.trace());
+    if (!cluster.sees_all())
+        RC_FAIL("write not visible: " + cluster.trace());
 }
 
 } // namespace
@@ -529,16 +530,16 @@
         return;
     INFO("losses " << losses << " size " << size);
     CHECK(rc::check("views", [&] {
-        fleet world(size, losses);
-        RC_ASSERT(world.serves());
+        fleet cluster(size, losses);
+        RC_ASSERT(cluster.serves());
         const auto steps = *rc::gen::inRange(0, 120);
         for (int i = 0; i < steps; ++i)
         {
-            play_step(world, size - losses - 1);
-            if (!world.sees_all())
-                RC_FAIL(world.trace());
+            random_step(cluster, size - losses - 1);
+            if (!cluster.sees_all())
+                RC_FAIL(cluster.trace());
         }
-        check_recovery(world);
+        check_recovery(cluster);
     }));
 }
 
@@ -546,115 +547,115 @@
           "[membership][property]")
 {
     const auto losses = GENERATE(1U, 2U);
-    // Fewer members keep no majority through as many losses.
+    // Fewer members cannot keep a majority through this many losses.
     const auto size = GENERATE(3U, 4U, 5U, 6U);
     if (size < 2 * losses + 1)
         return;
     INFO("losses " << losses << " size " << size);
     CHECK(rc::check("views", [&] {
-        fleet world(size, losses);
-        world.allow_overlaps();
+        fleet cluster(size, losses);
+        cluster.allow_overlaps();
         const auto steps = *rc::gen::inRange(0, 120);
         for (int i = 0; i < steps; ++i)
         {
-            play_step(world, 0);
-            if (!world.sees_all())
-                RC_FAIL(world.trace());
+            random_step(cluster, 0);
+            if (!cluster.sees_all())
+                RC_FAIL(cluster.trace());
         }
-        check_recovery(world);
+        check_recovery(cluster);
     }));
 }
 
-TEST_CASE("no state within reach hides a write or stands still",
+TEST_CASE("no reachable state hides a write or stops making progress",
           "[membership][exhaustive]")
 {
-    // Breadth first, so that all histories up to some length are walked.
-    // PEPPERTURN_STATES walks further.
-    constexpr std::size_t usual_states = 20000;
-    const char* asked = std::getenv("PEPPERTURN_STATES");
-    const std::size_t most =
-        asked == nullptr ? usual_states : std::stoull(asked);
+    // Breadth first, so that all histories up to some length are covered.
+    // PEPPERTURN_STATES raises the number of states.
+    constexpr std::size_t default_states = 20000;
+    const char* requested = std::getenv("PEPPERTURN_STATES");
+    const std::size_t max_states =
+        requested == nullptr ? default_states : std::stoull(requested);
     const auto retired = GENERATE(false, true);
     fleet first(3, 1);
     first.allow_overlaps();
     if (retired)
         first.retire("m2");
     std::set<std::string> seen{first.digest()};
-    std::deque<fleet> open{first};
-    while (!open.empty() && seen.size() < most)
+    std::deque<fleet> queue{first};
+    while (!queue.empty() && seen.size() < max_states)
     {
-        const auto world = std::move(open.front());
-        open.pop_front();
-        for (auto& next : next_states(world))
+        const auto cluster = std::move(queue.front());
+        queue.pop_front();
+        for (auto& next : next_states(cluster))
         {
             if (!seen.insert(next.digest()).second)
                 continue;
             if (!next.sees_all())
-                FAIL("hidden: " << next.trace());
+                FAIL("write not visible: " << next.trace());
             auto later = next;
             later.recover();
             if (!later.serves() || !later.sees_all())
                 FAIL("not recovered: " << next.trace());
-            open.push_back(std::move(next));
+            queue.push_back(std::move(next));
         }
     }
-    WARN("states " << seen.size() << ", still open " << open.size());
-    CHECK(seen.size() >= usual_states);
+    WARN("states " << seen.size() << ", still open " << queue.size());
+    CHECK(seen.size() >= default_states);
 }
 
-TEST_CASE("a VM that is emptied, another that is replaced: turns go on",
+TEST_CASE("turns are served while a VM retires and another is replaced",
           "[membership]")
 {
-    // Three VMs, one leaves, one of the two others is gone for good.
-    fleet world(3, 1);
-    world.retire("m0");
-    world.settle();
-    world.kill("m1", false, true);
-    world.settle();
-    CHECK(world.serves());
-    world.grow_silent("m1");
-    world.settle();
-    INFO(world.text());
-    CHECK(world.serves());
-    CHECK(world.losses() == 0);
+    // Three VMs, one retires, and one of the two others is permanently lost.
+    fleet cluster(3, 1);
+    cluster.retire("m0");
+    cluster.settle();
+    cluster.kill("m1", false, true);
+    cluster.settle();
+    CHECK(cluster.serves());
+    cluster.exceed_timeout("m1");
+    cluster.settle();
+    INFO(cluster.describe());
+    CHECK(cluster.serves());
+    CHECK(cluster.losses() == 0);
 }
 
-TEST_CASE("one VM of two rests while the other is lost, and goes on with it",
+TEST_CASE("one VM of two serves nothing until the lost one returns",
           "[membership]")
 {
-    fleet world(2, 1);
-    REQUIRE(world.write(3));
-    world.kill("m1", false, false);
-    CHECK_FALSE(world.serves());
-    world.grow_silent("m1");
-    world.settle();
-    // One copy is less than a lost disk allows.
-    CHECK_FALSE(world.serves());
-    CHECK_FALSE(world.write(1));
-    world.revive("m1");
-    world.settle();
-    CHECK(world.serves());
-    REQUIRE(world.write(3));
-    CHECK(world.losses() == 0);
-    CHECK(world.sees_all());
+    fleet cluster(2, 1);
+    REQUIRE(cluster.write(3));
+    cluster.kill("m1", false, false);
+    CHECK_FALSE(cluster.serves());
+    cluster.exceed_timeout("m1");
+    cluster.settle();
+    // One copy fewer than the tolerated loss of a disk requires.
+    CHECK_FALSE(cluster.serves());
+    CHECK_FALSE(cluster.write(1));
+    cluster.revive("m1");
+    cluster.settle();
+    CHECK(cluster.serves());
+    REQUIRE(cluster.write(3));
+    CHECK(cluster.losses() == 0);
+    CHECK(cluster.sees_all());
 }
 
-TEST_CASE("what a VM that serves alone acknowledges outlives its disk",
+TEST_CASE("a VM left alone acknowledges no write that its disk alone holds",
           "[membership]")
 {
-    fleet world(3, 1);
-    world.allow_overlaps();
+    fleet cluster(3, 1);
+    cluster.allow_overlaps();
     for (const char* name : {"m0", "m1"})
     {
-        world.kill(name, false, false);
-        world.grow_silent(name);
-        world.settle();
-    }
-    // It acknowledges nothing that its disk alone would hold.
-    CHECK_FALSE(world.write(7));
-    world.kill("m2", true, false);
-    world.recover();
-    INFO(world.trace());
-    CHECK(world.sees_all());
-    CHECK(world.serves());
+        cluster.kill(name, false, false);
+        cluster.exceed_timeout(name);
+        cluster.settle();
+    }
+    // It acknowledges nothing that only its own disk would hold.
+    CHECK_FALSE(cluster.write(7));
+    cluster.kill("m2", true, false);
+    cluster.recover();
+    INFO(cluster.trace());
+    CHECK(cluster.sees_all());
+    CHECK(cluster.serves());
 }
--- a/test/cluster/test_zone_map.cpp
+++ b/test/cluster/test_zone_map.cpp
@@ -5,7 +5,7 @@
 
 using namespace pepperturn;
 
-TEST_CASE("how far zones are from each other", "[zone_map]")
+TEST_CASE("distance between zones", "[zone_map]")
 {
     zone_map zones;
     REQUIRE(parse_zone_map("n-a=north,n-b=north,s-a=south", zones).empty());
@@ -19,7 +19,7 @@
         {"n-a", "n-a", zone_distance::same_zone},
         {"n-a", "n-b", zone_distance::same_region},
         {"n-a", "s-a", zone_distance::other_region},
-        // Nothing is known of its region.
+        // Its region is unknown.
         {"n-a", "new", zone_distance::same_region},
         {"new", "new", zone_distance::same_zone},
     }));
@@ -30,7 +30,7 @@
           each.m_distance);
 }
 
-TEST_CASE("rows that are no zone and region", "[zone_map]")
+TEST_CASE("malformed zone map entries are rejected", "[zone_map]")
 {
     const auto* text = GENERATE("a", "=r", "a=", "a=r,", "a=r,a=s");
     zone_map zones;
