--- a/src/cluster/update_sources.cpp
+++ b/src/cluster/update_sources.cpp
@@ -44,13 +44,15 @@
     for (auto& [zone, rows] : zones)
     {
         std::sort(rows.begin(), rows.end());
-        for (std::size_t position = 0; position < rows.size(); ++position)
-            positions.emplace_back(position, zone, rows[position].second);
+        for (std::size_t zone_position = 0; zone_position < rows.size();
+             ++zone_position)
+            positions.emplace_back(zone_position, zone,
+                                   rows[zone_position].second);
     }
     std::sort(positions.begin(), positions.end());
     std::vector<std::string> out;
     out.reserve(positions.size());
-    for (auto& [position, zone, name] : positions)
+    for (auto& [zone_position, zone, name] : positions)
         out.push_back(std::move(name));
     return out;
 }
--- a/test/cluster/test_update_sources.cpp
+++ b/test/cluster/test_update_sources.cpp
@@ -168,7 +168,7 @@
     struct sample
     {
         subscriber_facts m_facts;
-        std::size_t m_expected;
+        std::size_t m_count;
     };
     const auto each = GENERATE(values<sample>({
         {{false, false, milliseconds(0)}, source_count},
@@ -177,7 +177,7 @@
         // The first source has sent nothing in time.
         {{true, false, milliseconds(1500)}, source_count},
     }));
-    CHECK(target_source_count(each.m_facts) == each.m_expected);
+    CHECK(target_source_count(each.m_facts) == each.m_count);
 }
 
 TEST_CASE("a starting edge VM waits before it reads the store itself",
