--- a/include/pepperturn/cluster/member_links.hpp
+++ b/include/pepperturn/cluster/member_links.hpp
@@ -66,8 +66,8 @@
     /// Sends a request to a member; \p done may be called at once if it is not
     /// connected.
     /// \param epoch of the view that the request is based on
-    /// \param timeout timeout of the requester: the shorter it is, the sooner
-    /// the request is relayed
+    /// \param timeout of the requester: the shorter it is, the sooner the
+    /// request is relayed
     void call(const std::string& name, std::uint64_t epoch, frame_body body,
               reply_handler done,
               milliseconds timeout = 2 * direct_reply_timeout);
@@ -90,8 +90,8 @@
     /// True if the member is connected, recently replied through a relay peer,
     /// or would be connected to on demand.
     [[nodiscard]] bool connected(const std::string& name) const;
-    /// True if the member is connected and a frame arrived within two
-    /// heartbeats, or if it would be connected to on demand.
+    /// True if the member sent something within two heartbeats, directly or
+    /// through a relay peer, or if it would be connected to on demand.
     [[nodiscard]] bool reachable(const std::string& name) const;
     /// True if the member is responsive on its direct link.
     [[nodiscard]] bool reachable_directly(const std::string& name) const;
