--- a/include/pepperturn/cluster/link_health.hpp
+++ b/include/pepperturn/cluster/link_health.hpp
@@ -55,7 +55,7 @@
 }
 
 /// Time to wait for a direct reply before a request is relayed.
-/// \param timeout timeout of the requester, who needs time for the relayed
+/// \param timeout of the requester, who needs a part of it for the relayed
 /// path
 [[nodiscard]] inline milliseconds direct_timeout_for(milliseconds timeout)
 {
--- a/include/pepperturn/cluster/membership.hpp
+++ b/include/pepperturn/cluster/membership.hpp
@@ -26,7 +26,7 @@
     std::uint64_t m_caught_up_at = 0;
     /// Members that have copied everything from this one in this epoch.
     std::set<std::string> m_copied_by;
-    /// Members that have been unresponsive for longer than the eviction delay.
+    /// Members that have been unresponsive long enough to be dropped.
     std::set<std::string> m_unresponsive;
     /// Members that this VM cannot reach at the moment.
     std::set<std::string> m_unreachable;
--- a/include/pepperturn/cluster/view.hpp
+++ b/include/pepperturn/cluster/view.hpp
@@ -50,8 +50,8 @@
     friend bool operator==(const member&, const member&) = default;
 };
 
-/// Number of changes recorded in a view: more than occur while a VM is
-/// unreachable for a time after which it is still useful.
+/// Number of changes recorded in a view: more than occur while a VM can
+/// be unreachable and still be of use afterwards.
 constexpr std::size_t max_view_steps = 8;
 
 /// One change of a view. A VM that missed some changes reconstructs the views
