--- a/include/pepperturn/forward/exchange.hpp
+++ b/include/pepperturn/forward/exchange.hpp
@@ -3,7 +3,7 @@
 /// One attempt: a request goes to one runner, and its answer comes back.
 #pragma once
 
-#include "pepperturn/forward/held_bytes.hpp"
+#include "pepperturn/forward/buffer_budget.hpp"
 #include "pepperturn/forward/request_head.hpp"
 #include "pepperturn/forward/runner_table.hpp"
 #include "pepperturn/forward/upstream_pool.hpp"
--- a/include/pepperturn/forward/memory_guard.hpp
+++ b/include/pepperturn/forward/memory_guard.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "pepperturn/base/async.hpp"
-#include "pepperturn/forward/held_bytes.hpp"
+#include "pepperturn/forward/buffer_budget.hpp"
 
 #include <optional>
 
--- a/include/pepperturn/forward/proxy.hpp
+++ b/include/pepperturn/forward/proxy.hpp
@@ -4,10 +4,10 @@
 /// the evidence allows it, and answers honestly.
 #pragma once
 
+#include "pepperturn/forward/admission_queue.hpp"
 #include "pepperturn/forward/caller_connection.hpp"
-#include "pepperturn/forward/cold_client.hpp"
-#include "pepperturn/forward/engine_gate.hpp"
-#include "pepperturn/forward/place_client.hpp"
+#include "pepperturn/forward/cold_runner_client.hpp"
+#include "pepperturn/forward/placement_client.hpp"
 #include "pepperturn/forward/quota_client.hpp"
 #include "pepperturn/forward/stream_relay.hpp"
 #include "pepperturn/forward/traffic_metrics.hpp"
--- a/src/forward/cold_client.cpp
+++ b/src/forward/cold_runner_client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/forward/cold_client.hpp"
+#include "pepperturn/forward/cold_runner_client.hpp"
 
 namespace pepperturn {
 
--- a/src/forward/place_client.cpp
+++ b/src/forward/placement_client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/forward/place_client.hpp"
+#include "pepperturn/forward/placement_client.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -2,7 +2,7 @@
 #include "pepperturn/forward/proxy.hpp"
 
 #include "pepperturn/base/latency_histogram.hpp"
-#include "pepperturn/forward/home_regions.hpp"
+#include "pepperturn/forward/allowed_regions.hpp"
 #include "pepperturn/scheduling/refusal.hpp"
 #include "pepperturn/scheduling/start_hold.hpp"
 
--- a/src/forward/proxy_places.cpp
+++ b/src/forward/proxy_places.cpp
@@ -4,7 +4,7 @@
 #include "pepperturn/forward/proxy.hpp"
 
 #include "pepperturn/base/hash.hpp"
-#include "pepperturn/forward/home_regions.hpp"
+#include "pepperturn/forward/allowed_regions.hpp"
 #include "pepperturn/scheduling/refusal.hpp"
 
 #include <algorithm>
--- a/test/fleet/test_places.cpp
+++ b/test/fleet/test_places.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 // Places at engines over real connections: who hands them out, what comes back
 // when an asker dies, and what an edge VM does while nobody answers.
-#include "pepperturn/forward/place_client.hpp"
+#include "pepperturn/forward/placement_client.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
--- a/test/forward/test_engine_gate.cpp
+++ b/test/forward/test_admission_queue.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/forward/engine_gate.hpp"
+#include "pepperturn/forward/admission_queue.hpp"
 
 #include "support/fleet/loop.hpp"
 
--- a/test/forward/test_held_bytes.cpp
+++ b/test/forward/test_buffer_budget.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/forward/held_bytes.hpp"
+#include "pepperturn/forward/buffer_budget.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/forward/test_runner_table.cpp
+++ b/test/forward/test_runner_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/forward/home_regions.hpp"
+#include "pepperturn/forward/allowed_regions.hpp"
 #include "pepperturn/forward/runner_table.hpp"
 
 #include <catch2/catch.hpp>
