--- a/include/pepperturn/forward/admission_queue.hpp
+++ b/include/pepperturn/forward/admission_queue.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Calls wait here for a place at the engines.
+/// Limits an edge VM's concurrent calls to engines; calls beyond the limit wait
+/// in a queue ordered by rank.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -12,27 +13,29 @@
 
 namespace pepperturn {
 
-/// How waiting for a place ended.
+/// The result of waiting for a slot.
 struct admission_result
 {
     bool m_admitted = false;
-    /// What the line ahead was expected to take.
+    /// Estimated time until the calls ahead in the queue are admitted.
     milliseconds m_expected_wait{0};
 };
 
+/// The limit adapts to the first-byte latency of each route.
 class admission_queue
 {
 public:
     admission_queue(asio::io_context& io, const clock& time);
 
-    /// Waits for a place, not at all if \p patience would not do. Who is
-    /// admitted calls \ref leave in the end.
+    /// Waits for a slot for at most \p timeout, or not at all if the expected
+    /// wait is longer. An admitted call must end with \ref release.
     [[nodiscard]] task<admission_result> acquire(call_rank rank,
-                                                 milliseconds patience);
+                                                 milliseconds timeout);
     void release();
-    /// \param route calls of one route take about as long
-    /// \param wait until the first byte
-    /// \param run from there to the end
+    /// Updates the limit with the times of a finished call.
+    /// \param route name; calls of one route take about as long
+    /// \param wait time to the first byte
+    /// \param run time from the first byte to the end
     void record_call(const std::string& route, milliseconds wait,
                      milliseconds run);
 
@@ -66,7 +69,7 @@
     std::uint32_t m_in_flight = 0;
     std::uint64_t m_last_sequence = 0;
     std::vector<std::shared_ptr<waiter>> m_queue;
-    /// Of calls of each rank.
+    /// Admissions of calls of each rank.
     std::map<call_rank, admission_rate> m_drain_rates;
 };
 
--- a/include/pepperturn/forward/buffer_budget.hpp
+++ b/include/pepperturn/forward/buffer_budget.hpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Bytes that an edge VM holds for callers and runners: by what they are, by
-/// connection, by workspace and for the whole VM.
+/// Accounts for the bytes that an edge VM buffers for callers and runners: by
+/// kind, by connection, by workspace and for the whole VM.
 ///
-/// Bytes that may come are reserved first. What is held and what is reserved
-/// beyond it never pass the bound together, whoever asks and in which order.
+/// Memory is reserved before bytes arrive. Buffered bytes and the reservations
+/// beyond them never exceed the bound together, whatever the order of requests.
 #pragma once
 
 #include "pepperturn/scheduling/read_pressure.hpp"
@@ -18,20 +18,20 @@
 
 namespace pepperturn {
 
-/// What bytes are held for.
+/// What bytes are buffered for.
 enum class buffer_kind : std::uint8_t
 {
-    /// A caller's body, while it comes and while runners may need it.
+    /// A caller's body, while it is received and while runners may need it.
     request,
-    /// The earlier turns that go before it.
+    /// The turn history that is sent before the body.
     history,
-    /// A body that a runner has not taken yet: what the kernel has of it.
+    /// A body that a runner has not read yet: its part in kernel buffers.
     unsent_body,
-    /// An answer that is gathered before it is passed on.
+    /// A response that is buffered before it is forwarded.
     response,
-    /// What the kernel has of an answer that is not read on for want of room.
+    /// Kernel buffers of a response that is not read on for lack of memory.
     receive_buffer,
-    /// What a caller has not taken, with what the kernel has of it.
+    /// What a caller has not read, kernel buffers included.
     undelivered
 };
 
@@ -41,7 +41,7 @@
 
 class buffer_account;
 
-/// The sums of one VM. Used from one thread.
+/// The totals of one VM and their bound. Used from one thread.
 class buffer_budget
 {
 public:
@@ -56,12 +56,12 @@
     {
         return m_total;
     }
-    /// Held, and reserved beyond that.
+    /// Buffered bytes and reservations beyond them.
     [[nodiscard]] std::uint64_t committed() const
     {
         return m_committed;
     }
-    /// The most that was ever held at once.
+    /// Highest total so far.
     [[nodiscard]] std::uint64_t peak() const
     {
         return m_peak;
@@ -72,31 +72,31 @@
     {
         return m_level;
     }
-    /// Called when the level has changed; it may not change any account.
+    /// Called when the level has changed; must not change any account.
     void on_level(std::function<void(pressure_level)> handler)
     {
         m_on_level = std::move(handler);
     }
-    /// Called with the kind and the bytes that found no room; it may not
+    /// Called with the kind and number of bytes that were refused; must not
     /// change any account.
     void on_refused(std::function<void(buffer_kind, std::uint64_t)> handler)
     {
         m_on_refused = std::move(handler);
     }
-    /// There is room for \p bytes more now.
+    /// Whether \p bytes more can be reserved or buffered now.
     [[nodiscard]] bool fits(buffer_kind kind, std::uint64_t bytes) const;
-    /// The oldest request whose answer was held up for want of room while it
-    /// is gathered; null: there is none.
+    /// The oldest request whose response is blocked on memory while it is
+    /// buffered; null: none.
     [[nodiscard]] const buffer_account* first_blocked() const
     {
         return m_blocked.empty() ? nullptr : m_blocked.begin()->second;
     }
-    /// Accounts whose callers leave something unread now.
+    /// Accounts whose callers have unread data.
     [[nodiscard]] const std::set<buffer_account*>& waiting_accounts() const
     {
         return m_waiting_accounts;
     }
-    /// Waits for callers that were too slow to be usual, so far.
+    /// Number of waits so far for callers that read unusually slowly.
     [[nodiscard]] std::uint64_t slow_readers() const
     {
         return m_slow_readers;
@@ -111,7 +111,7 @@
 
     void change(buffer_kind kind, const std::string& workspace,
                 std::uint64_t before, std::uint64_t after);
-    /// \returns false and changes nothing if there is no room for it
+    /// \returns false and changes nothing if memory does not suffice
     [[nodiscard]] bool commit(buffer_kind kind, std::uint64_t before,
                               std::uint64_t after);
     void count_workspace(const std::string& name, std::uint64_t before,
@@ -123,10 +123,10 @@
     std::uint64_t m_committed = 0;
     std::uint64_t m_peak = 0;
     std::array<std::uint64_t, buffer_kind_count> m_by_kind{};
-    /// Only those that hold something.
+    /// Only workspaces with buffered bytes.
     std::map<std::string, std::uint64_t> m_by_workspace;
     std::set<buffer_account*> m_waiting_accounts;
-    /// By the order in which they came.
+    /// By sequence number, that is, in order of arrival.
     std::map<std::uint64_t, const buffer_account*> m_blocked;
     std::uint64_t m_last_sequence = 0;
     std::uint64_t m_slow_readers = 0;
@@ -136,53 +136,53 @@
     std::function<void(buffer_kind, std::uint64_t)> m_on_refused;
 };
 
-/// What one request or connection holds; all of it is given back at its end.
+/// Bytes of one request or connection; the destructor releases them all.
 class buffer_account
 {
 public:
-    explicit buffer_account(std::shared_ptr<buffer_budget> book);
+    explicit buffer_account(std::shared_ptr<buffer_budget> budget);
     ~buffer_account();
     buffer_account(const buffer_account&) = delete;
     buffer_account& operator=(const buffer_account&) = delete;
 
-    /// Sees to it that \p bytes of \p kind may be held from now on, those that
-    /// are held already among them.
-    /// \returns false and changes nothing if there is no room for it
+    /// Ensures that \p bytes of \p kind can be buffered, including those that
+    /// already are.
+    /// \returns false and changes nothing if memory does not suffice
     [[nodiscard]] bool reserve(buffer_kind kind, std::uint64_t bytes);
-    /// The same for \p bytes beyond those that are held.
+    /// The same for \p bytes beyond those that are buffered.
     [[nodiscard]] bool reserve_more(buffer_kind kind, std::uint64_t bytes);
-    /// \returns false and changes nothing if there is no room for it, which
-    /// cannot be within what is reserved
+    /// \returns false and changes nothing if memory does not suffice; never
+    /// fails within the reservation
     [[nodiscard]] bool set(buffer_kind kind, std::uint64_t bytes);
     [[nodiscard]] bool add(buffer_kind kind, std::uint64_t bytes);
-    /// Holds all that is reserved of \p kind.
+    /// Counts the whole reservation of \p kind as buffered.
     void use_reservation(buffer_kind kind);
-    /// Holds less; what is reserved stays so.
+    /// Lowers the buffered bytes; the reservation remains.
     void release(buffer_kind kind, std::uint64_t bytes);
-    /// Reserves nothing beyond what is held.
+    /// Drops the reservation beyond the buffered bytes.
     void end_reservation(buffer_kind kind);
-    /// Whose the bytes are from now on; empty: nobody's.
+    /// Attributes the bytes to a workspace; empty: to none.
     void set_workspace(const std::string& name);
     [[nodiscard]] std::uint64_t total() const;
 
-    /// Its answer is being gathered and has been held up, until \ref
-    /// end_gathering: requests go on in the order in which they came, since
-    /// half gathered answers of all of them would help nobody.
+    /// The response is blocked on memory while it is buffered, until \ref
+    /// clear_blocked. Requests proceed in order of arrival: otherwise all could
+    /// stop with incomplete responses, and none would free its memory.
     void mark_blocked();
     void clear_blocked();
 
-    /// The caller leaves something unread.
-    /// \param cut ends its connection
-    void begin_reader_wait(instant now, std::function<void()> cut);
+    /// The caller has unread data.
+    /// \param disconnect ends its connection
+    void begin_reader_wait(instant now, std::function<void()> disconnect);
     void record_read(std::uint64_t bytes, instant now);
-    /// It has taken all, or will take no more.
+    /// The caller has read everything, or will read no more.
     void end_reader_wait(instant now);
     [[nodiscard]] bool waits_for_reader() const
     {
         return static_cast<bool>(m_disconnect);
     }
     [[nodiscard]] unread_response unread(instant now) const;
-    /// Ends the connection of a caller that does not read.
+    /// Disconnects the caller if it has unread data.
     void disconnect();
 
 private:
--- a/include/pepperturn/forward/cold_runner_client.hpp
+++ b/include/pepperturn/forward/cold_runner_client.hpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Asks for leave to send calls to runners that are cold.
+/// Requests permission to send calls to cold runners: those that have just
+/// started or whose memory is empty.
 ///
-/// Whoever hears none of those that count sends them nothing: what they bear is
-/// less than one call a second of each VM.
+/// An edge VM that reaches none of the storage VMs that count these calls sends
+/// none: a cold runner can serve less than one call a second from each VM.
 #pragma once
 
 #include "pepperturn/forward/quota_client.hpp"
@@ -14,13 +15,13 @@
 class cold_runner_client
 {
 public:
-    cold_runner_client(const clock& time, quota_client& owners, double excess,
+    cold_runner_client(const clock& time, quota_client& quota, double excess,
                        double slack);
 
-    /// Leave to send one call, at once.
-    /// \param per_s that such a runner bears, by the configuration; 0: any
-    /// number
-    /// \param incarnation hash of the runner's
+    /// Requests permission to send one call immediately.
+    /// \param incarnation hash of the runner's incarnation
+    /// \param per_s calls a second that such a runner can serve, as configured;
+    /// 0: unlimited
     [[nodiscard]] task<bool> acquire(std::uint64_t incarnation, double per_s);
 
 private:
--- a/include/pepperturn/forward/memory_guard.hpp
+++ b/include/pepperturn/forward/memory_guard.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Keeps what an edge VM holds for callers and runners within its memory; see
-/// scheduling/read_pressure.hpp for what is done at which level.
+/// Keeps the bytes that an edge VM buffers for callers and runners within its
+/// memory; scheduling/read_pressure.hpp says what is done at which level.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -11,6 +11,7 @@
 
 namespace pepperturn {
 
+/// Throttles, refuses and disconnects by the current pressure level.
 class memory_guard
 {
 public:
@@ -19,7 +20,7 @@
     memory_guard(const memory_guard&) = delete;
     memory_guard& operator=(const memory_guard&) = delete;
 
-    /// \param memory_mb of the VM, for this process; 0: not told
+    /// \param memory_mb memory for this process in MB; 0: unknown
     void set_memory(std::uint32_t memory_mb);
     [[nodiscard]] const std::shared_ptr<buffer_budget>& budget() const
     {
@@ -29,37 +30,39 @@
     {
         return m_budget->level();
     }
-    /// \param body bytes that are still to come
+    /// \param body bytes still to be received
     [[nodiscard]] bool may_read_body(std::uint64_t body) const;
-    /// Held up for a moment while the VM is under pressure.
+    /// Delays a new connection briefly while the VM is under memory pressure.
     [[nodiscard]] task<> throttle();
-    /// Waits until slow readers have made room for more of an answer, for as
-    /// long as a runner keeps one that is not read; reserves that room. Where
-    /// it is short the oldest request goes on alone.
-    /// \param bytes of the answer's next piece
-    /// \returns false if there is no room
+    /// Waits until slow readers have freed memory for more of a response, for
+    /// as long as a runner keeps a response that is not read, and reserves it.
+    /// While memory is short only the oldest blocked request proceeds.
+    /// \param bytes of the response's next piece
+    /// \returns false if no memory was freed in time
     [[nodiscard]] task<bool>
-    wait_for_capacity(std::shared_ptr<buffer_account> held,
+    wait_for_capacity(std::shared_ptr<buffer_account> account,
                       std::uint64_t bytes);
-    /// Waits until an answer that is ready may be left unread by its caller.
-    /// \param bytes that are held if it does not read
-    /// \returns false if there is no room by then
+    /// Waits until there is memory for a complete response, in case its caller
+    /// does not read it.
+    /// \param bytes to buffer in that case
+    /// \returns false if there is none by \p deadline
     [[nodiscard]] task<bool> wait_for_delivery_capacity(std::uint64_t bytes,
-                                                        instant until);
-    /// Counts a request that was refused for want of memory.
+                                                        instant deadline);
+    /// Counts a request that was refused for lack of memory.
     void count_refused_request()
     {
         ++m_refused_requests;
     }
-    /// Figures for operators, one line each.
+    /// Appends metrics, one line each.
     void write_metrics(std::string& out) const;
 
 private:
-    [[nodiscard]] bool try_reserve(buffer_account& held, std::uint64_t bytes);
+    [[nodiscard]] bool try_reserve(buffer_account& account,
+                                   std::uint64_t bytes);
     void handle_level(pressure_level level);
-    /// Counts room that was refused; tells it once a second for each kind.
-    void handle_refused(buffer_kind kind, std::uint64_t asked);
-    /// Cuts the slowest readers for as long as that is needed.
+    /// Counts a refused reservation; logs at most one a second for each kind.
+    void handle_refused(buffer_kind kind, std::uint64_t requested);
+    /// Disconnects the slowest readers while the level requires it.
     task<> disconnect_slow_readers();
     void disconnect_slowest();
 
@@ -68,7 +71,7 @@
     std::shared_ptr<buffer_budget> m_budget;
     std::uint64_t m_refused_requests = 0;
     std::array<std::uint64_t, buffer_kind_count> m_refused_reservations{};
-    /// When that was last told.
+    /// When a refusal of each kind was last logged.
     std::array<std::optional<instant>, buffer_kind_count> m_last_logged{};
     bool m_disconnecting = false;
 };
--- a/include/pepperturn/forward/quota_client.hpp
+++ b/include/pepperturn/forward/quota_client.hpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Asks the owners of a workspace's limit for leave to run one request.
+/// Requests permission from the owners of a workspace's limit to run a request.
+///
+/// The owners are storage VMs; each grants a share of the limit.
 #pragma once
 
 #include "pepperturn/cluster/member_links.hpp"
@@ -10,37 +12,37 @@
 
 namespace pepperturn {
 
-/// Leave to run one request.
+/// The owners' reply to a request for permission to run one request.
 struct quota_grant
 {
     quota_outcome m_outcome = quota_outcome::not_owner;
-    /// Over the limit: when there is room again.
+    /// Over the limit: time until the limit allows a request again.
     milliseconds m_retry_after{0};
-    /// Who granted it.
+    /// The VM that granted it.
     std::string m_owner;
-    /// The place that it has there, as told.
+    /// The granted slot in the owner's window, packed as in the reply.
     std::uint32_t m_slot = 0;
-    /// How long the request waited for it.
+    /// Time from the grant until the slot starts.
     milliseconds m_wait{0};
     quota_request m_request;
-    /// Owners that were asked.
     unsigned m_owners_asked = 0;
 };
 
+/// Tries the owners in turn, and remembers recent refusals of first calls.
 class quota_client
 {
 public:
     quota_client(asio::io_context& io, const clock& time, member_links& links);
 
-    /// The storage VMs among which owners are found.
+    /// Sets the members from which the owners are taken.
     void set_members(const std::vector<member>& members);
 
-    /// Asks the owners one after the other until one grants it. Where none has
-    /// room at once, the one that has it first is asked for a place within the
-    /// question's patience, and the answer comes when it is time.
-    /// \returns `not_owner` if none of them could answer
-    [[nodiscard]] task<quota_grant> acquire(quota_request question);
-    /// Gives a grant back whose request has certainly not run.
+    /// Asks the owners one after the other until one grants the request. If no
+    /// owner has a free slot now, asks the one that has a slot first for one
+    /// within the request's timeout, and returns when that slot starts.
+    /// \returns `not_owner` if none of them replied
+    [[nodiscard]] task<quota_grant> acquire(quota_request request);
+    /// Returns a grant whose request has certainly not run.
     void release(const quota_grant& grant);
 
 private:
@@ -54,22 +56,22 @@
         auto operator<=>(const refusal_key&) const = default;
     };
 
-    /// The owner said lately that it has no room for first calls: until then.
-    /// Others are asked for each time: a place may be kept for them.
+    /// Until when a recent refusal of a program's first call is reused without
+    /// asking the owner. Later calls are always sent to it, since it may have
+    /// reserved a slot for them.
     [[nodiscard]] std::optional<instant>
     refused_until(const refusal_key& key) const;
     void record_refusal(refusal_key key, instant until);
-    /// The owners of its workspace, the one that its program keeps to first.
+    /// The owners of the request's workspace, its program's usual owner first.
     [[nodiscard]] std::vector<std::string>
-    ranked_owners(const quota_request& question);
-    /// Asks one owner, and takes its answer into \p out.
-    /// \returns when there is room, if there is none now
+    ranked_owners(const quota_request& request);
+    /// Asks one owner and stores its reply in \p out.
+    /// \returns when a slot will be free, if none is now
     [[nodiscard]] task<std::optional<instant>>
-    request_from_owner(std::string owner, quota_request question,
+    request_from_owner(std::string owner, quota_request request,
                        std::shared_ptr<quota_grant> out);
 
-    /// Waits until the time of a grant's place. A place ahead is known to its
-    /// owner only.
+    /// Waits until a grant's slot starts; only its owner knows of that slot.
     /// \returns false if the owner may have restarted meanwhile
     [[nodiscard]] task<bool> wait_for_slot(std::shared_ptr<quota_grant> grant);
 
--- a/include/pepperturn/forward/routing_config.hpp
+++ b/include/pepperturn/forward/routing_config.hpp
@@ -22,7 +22,7 @@
     idempotent,
     /// May run at most once.
     unrepeatable,
-    /// Answers with events; may run at most once as well.
+    /// Responds with an event stream; may also run at most once.
     stream
 };
 
@@ -44,38 +44,38 @@
     /// Begins and ends with a slash.
     std::string m_path_prefix;
     route_kind m_kind = route_kind::unrepeatable;
-    /// Longest time that a request is held.
+    /// Maximum total time of a request.
     milliseconds m_timeout{30000};
     milliseconds m_target_latency{1000};
     /// 0 is the most urgent.
     std::uint32_t m_priority = 0;
     std::vector<weighted_service> m_services;
-    /// Runners that one request may go to.
+    /// Number of runners that one request may be sent to.
     std::uint32_t m_max_attempts = 1;
-    /// A stream that was cut may go on from its last event at another runner.
+    /// An interrupted stream may resume after its last event at another runner.
     bool m_resumable = false;
-    /// The longest pause between events that is in time; zero: not told.
+    /// Longest acceptable gap between events; zero: unspecified.
     milliseconds m_target_gap{0};
-    /// Turns are kept here and name the turn they go on from.
+    /// Turns are stored, and each names the parent turn that it continues.
     bool m_stateful = false;
     milliseconds m_retention{60000};
-    /// Callers need no key.
+    /// Callers need no API key.
     bool m_public = false;
-    /// Requests are served, and turns kept, in these regions only; empty: in
+    /// Requests are served and turns stored only in these regions; empty: in
     /// any.
     std::set<std::string> m_regions;
 
     friend bool operator==(const route&, const route&) = default;
 };
 
-/// What is known of the engines of a service.
+/// Capacity of each engine of a service.
 struct engine_profile
 {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     std::uint32_t m_slots = 1;
-    /// Tokens that fit into memory.
+    /// Tokens that fit into the engine's memory.
     std::uint64_t m_token_capacity = 0;
-    /// Most tokens in one event.
+    /// Maximum number of tokens in one event.
     std::uint32_t m_tokens_per_event = 1;
 
     friend bool operator==(const engine_profile&,
@@ -86,16 +86,16 @@
 {
     std::string m_name;
     std::string m_health_path;
-    /// Connections that one runner takes from all callers together.
+    /// Connections that one runner accepts from all callers together.
     std::uint32_t m_max_connections = 64;
     std::optional<engine_profile> m_engine;
-    /// Requests a second that a runner bears while it is cold; 0: any number.
+    /// Requests a second that a runner can serve while cold; 0: unlimited.
     double m_cold_requests_per_s = 0;
 
     friend bool operator==(const service&, const service&) = default;
 };
 
-/// What a caller may send.
+/// Limits on what a caller may send.
 struct caller_limits
 {
     std::size_t m_max_header_bytes = 16384;
@@ -113,7 +113,7 @@
     std::vector<route> m_routes;
     std::map<std::string, service> m_services;
     caller_limits m_limits;
-    /// Empty: callers need no keys, and theirs are passed on.
+    /// Empty: callers need no API keys, and theirs are forwarded.
     std::optional<workspace_directory> m_directory;
 
     friend bool operator==(const routing_config&,
@@ -121,11 +121,12 @@
 };
 
 /// The route of \p host (any case, with or without a port) with the longest
-/// prefix of \p path; null: none.
+/// matching prefix of \p path; null: none matches.
 [[nodiscard]] const route* find_route(const routing_config& config,
                                       std::string_view host,
                                       std::string_view path);
 
+/// A runner as announced to the edge VMs.
 struct runner_info
 {
     std::string m_id;
@@ -135,27 +136,27 @@
     std::string m_availability_zone;
     std::uint32_t m_slots = 1;
     bool m_draining = false;
-    /// Unix milliseconds of its start; 0: not told. A runner that starts anew
-    /// under its id holds and knows nothing of before.
+    /// Unix time of its start in milliseconds; 0: unknown. A runner that
+    /// restarts under the same id has lost its requests and caches.
     std::uint64_t m_started_at_ms = 0;
-    /// For how much longer it is cold, from when this was told.
+    /// Remaining time for which it is cold, counted from this announcement.
     milliseconds m_cold_remaining{0};
 
     friend bool operator==(const runner_info&, const runner_info&) = default;
 };
 
-/// A runner that is new or told something new, or has gone.
+/// A runner that was added, changed or removed.
 struct runner_change
 {
     std::string m_id;
-    /// Empty: it has gone.
+    /// Empty: removed.
     std::optional<runner_info> m_info;
 
     friend bool operator==(const runner_change&,
                            const runner_change&) = default;
 };
 
-/// One life of a runner, as other VMs and later calls name it.
+/// Identifies one start of a runner, for other VMs and later calls.
 [[nodiscard]] std::string incarnation_of(const runner_info& info);
 
 } // namespace pepperturn
--- a/include/pepperturn/forward/runner_table.hpp
+++ b/include/pepperturn/forward/runner_table.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The runners as one edge VM sees them, and which one a request goes to.
+/// One edge VM's view of the runners, and the choice of a runner for a request.
 #pragma once
 
 #include "pepperturn/base/zone_map.hpp"
@@ -13,100 +13,106 @@
 
 namespace pepperturn {
 
-/// One runner with what this VM has seen of it.
+/// One runner and what this VM has observed of it.
 struct runner_row
 {
     runner_info m_info;
-    /// This life of it.
+    /// Identifies this start of the runner, see \ref incarnation_of.
     std::string m_incarnation;
-    /// Hash of that, as other VMs name it.
+    /// Hash of the incarnation, which other VMs use to refer to it.
     std::uint64_t m_incarnation_hash = 0;
-    /// Requests of this VM that are there now.
+    /// Requests from this VM that the runner is processing.
     std::uint32_t m_in_flight = 0;
-    /// Smoothed time to the first byte of an answer, as a multiple of what is
-    /// usual on the route; 1 before there is any.
+    /// Smoothed time to the first byte of a response, as a multiple of the
+    /// route's average; 1 before the first response.
     double m_slowness = 1;
-    /// Not used before this while another runner is there.
+    /// Until then the runner is used only if no other is available.
     instant m_backoff_until{};
-    /// Failures in a row.
     std::uint32_t m_consecutive_failures = 0;
-    /// Smoothed share of requests that went wrong, and when it was current;
-    /// it fades, so that a runner gets another chance.
+    /// Smoothed share of failed requests, and the time of its last update. It
+    /// decays over time, so that a runner that has failed is tried again.
     double m_error_rate = 0;
     instant m_error_rate_time{};
-    /// It bears few requests until then.
+    /// Until then the runner is cold and can serve few requests.
     instant m_cold_until{};
 };
 
+/// What a request requires or prefers of its runner.
 struct runner_query
 {
     std::string m_service;
-    /// Incarnation in which the prefix is cached; empty: nowhere.
+    /// Incarnation that has the prompt's prefix cached; empty: none.
     std::string m_preferred_incarnation;
     std::string m_availability_zone;
-    /// Runners that have refused this request already.
+    /// Ids of runners that have already refused this request.
     std::set<std::string> m_excluded;
-    /// Draws among equals.
+    /// Decides between runners of equal cost.
     std::uint64_t m_random_tiebreak = 0;
-    /// Whether a kept connection to a runner is idle; empty: never.
+    /// Whether an idle kept-alive connection to the runner exists; empty:
+    /// never.
     std::function<bool(const std::string&)> m_connected = {};
-    /// Hash of the beginning that its prompt shares with others; 0: none.
+    /// Hash of the prefix that the prompt shares with others; 0: none.
     std::uint64_t m_shared_prefix = 0;
-    /// Cold runners are left alone.
+    /// Excludes cold runners.
     bool m_warm_only = false;
-    /// Only runners of these regions; empty: of any.
+    /// Regions whose runners may be used; empty: any region.
     std::optional<std::set<std::string>> m_regions = {};
 };
 
-/// Of a service with many runners a VM weighs these for one call: several
-/// times what one VM has under way, so that it finds an idle one among them.
+/// Runners of a large service that a VM compares for one call: several times
+/// the calls that one VM has in flight, so that an idle one is among them.
 constexpr std::size_t max_candidates = 64;
-/// Runners of each zone on which prompts with one shared part meet: enough to
-/// bear the loss of some, few enough that the part is seldom read anew.
+/// Runners of each zone that serve the prompts with one shared prefix: enough
+/// to tolerate the loss of some, few enough that the prefix is seldom
+/// recomputed.
 constexpr std::size_t runners_per_prefix = 4;
 
+/// Selects runners by load, latency, error rate and cached prompts.
 class runner_table
 {
 public:
-    /// \param seed of this VM: which runners of a large service it uses
+    /// \param seed of this VM; selects which runners of a large service it uses
     explicit runner_table(std::uint64_t seed = 0) : m_seed(seed) {}
 
     void set_seed(std::uint64_t seed)
     {
         m_seed = seed;
     }
-    /// Takes what changed; keeps what was seen of those that stay.
-    /// \returns ids of runners that have started anew
+    /// Applies \p changes; runners that remain keep their statistics.
+    /// \returns ids of runners that have restarted
     std::vector<std::string> update(const std::vector<runner_change>& changes,
                                     instant now = {});
-    /// Takes the current list: whoever is not in it has gone.
+    /// Replaces the list of runners; those not in \p runners are removed.
     std::vector<std::string> replace(const std::vector<runner_info>& runners,
                                      instant now = {});
     void set_zones(zone_map zones)
     {
         m_zones = std::move(zones);
     }
-    /// Runners of \p zones get nothing.
+    /// Sends no requests to runners of \p zones; replaces the previous list.
     void evacuate(const std::vector<std::string>& zones);
 
     /// The runner with the least load, or the preferred one unless it is
-    /// clearly busier; null: none is left. Of many runners it weighs some:
-    /// each VM its own, so that all together use all.
-    /// \param weighed if given, how many runners were looked at is added
+    /// clearly busier; null: none is eligible. For a large service only some
+    /// runners are compared. Each VM's seed selects others, so that all VMs
+    /// together use all runners.
+    /// \param compared if not null, incremented by the number of runners
+    /// compared
     [[nodiscard]] const runner_row*
-    choose(const runner_query& choice, instant now,
-           std::size_t* weighed = nullptr) const;
-    /// It may be sent requests.
+    choose(const runner_query& query, instant now,
+           std::size_t* compared = nullptr) const;
+    /// Neither draining nor in an evacuated zone.
     [[nodiscard]] bool is_usable(const runner_row& row) const;
-    /// Of those, by \p choice.
+    /// Usable, and allowed by \p query.
     [[nodiscard]] bool is_eligible(const runner_row& row,
-                                   const runner_query& choice) const;
+                                   const runner_query& query) const;
 
     [[nodiscard]] const runner_row* find(const std::string& id) const;
-    /// Null: that life of a runner is over.
+    /// Null: the runner has restarted or was removed.
     [[nodiscard]] const runner_row*
     find_incarnation(const std::string& incarnation) const;
-    /// \param hash of an incarnation; null: none of the list has it
+    /// \param hash of an incarnation
+    /// \returns null if no listed runner has it
     [[nodiscard]] const runner_row*
     find_incarnation_hash(std::uint64_t hash) const;
     [[nodiscard]] std::size_t size() const
@@ -116,23 +122,23 @@
 
     void record_request_start(const std::string& id);
     void record_request_end(const std::string& id);
-    /// \param route requests of one route take about the same time
+    /// \param route name; requests of one route take about the same time
     void record_first_byte(const std::string& id, const std::string& route,
                            milliseconds latency);
-    /// What is usual on a route; zero: nothing is known yet.
+    /// Smoothed time to the first byte on a route; zero: no response yet.
     [[nodiscard]] milliseconds
     average_first_byte(const std::string& route) const;
-    /// A connection was refused, cut or silent.
+    /// A connection was refused, was aborted or timed out; starts a back-off.
     void record_failure(const std::string& id, instant now);
-    /// How a request ended there: well, or with an error of the runner's own
-    /// or with silence.
+    /// Updates the error rate with the result of one request.
+    /// \param good false after an error of the runner's own or a time-out
     void record_result(const std::string& id, bool good, instant now);
-    /// The runner said that it is full.
+    /// The runner reported that it has no free slot; starts a short back-off.
     void record_full(const std::string& id, instant now);
 
 private:
-    /// Runners in the order of their hashes: each point is followed by another
-    /// one, and comes and goes of others move few points.
+    /// Hash ring of runners by incarnation. Adding or removing a runner
+    /// changes the successor of few points.
     using ring = std::map<std::uint64_t, const runner_row*>;
     struct service_rows
     {
@@ -143,21 +149,20 @@
     [[nodiscard]] runner_row* find_row(const std::string& id);
     void add(const runner_info& info, runner_row& row, instant now);
     void remove(const runner_row& row);
-    /// Those that \p choice may go to, most of them of its own zone.
     using row_list = std::vector<const runner_row*>;
-    /// Those that \p choice may go to, most of them of its own zone.
+    /// Runners to compare for \p query, mostly of its own zone.
     [[nodiscard]] row_list select_candidates(const service_rows& rows,
-                                             const runner_query& choice) const;
-    /// Where prompts with the call's shared part meet.
+                                             const runner_query& query) const;
+    /// Runners of the query's zone that serve its shared prefix.
     [[nodiscard]] row_list runners_for_prefix(const service_rows& rows,
-                                              const runner_query& choice) const;
-    /// \param homes some of them, preferred a little
+                                              const runner_query& query) const;
+    /// \param prefix_runners those of \p rows that are slightly preferred
     [[nodiscard]] const runner_row* choose_among(const row_list& rows,
-                                                 const row_list& homes,
-                                                 const runner_query& choice,
+                                                 const row_list& prefix_runners,
+                                                 const runner_query& query,
                                                  instant now) const;
     [[nodiscard]] runner_candidate make_candidate(const runner_row& row,
-                                                  const runner_query& choice,
+                                                  const runner_query& query,
                                                   instant now) const;
 
     std::uint64_t m_seed;
@@ -166,7 +171,7 @@
     std::map<std::string, service_rows> m_by_service;
     std::unordered_map<std::uint64_t, const runner_row*> m_by_hash;
     std::set<std::string> m_evacuated;
-    /// Smoothed time to the first byte on each route, in milliseconds.
+    /// By route name.
     std::map<std::string, double> m_average_first_byte_ms;
 };
 
--- a/src/forward/admission_queue.cpp
+++ b/src/forward/admission_queue.cpp
@@ -15,7 +15,7 @@
 }
 
 task<admission_result> admission_queue::acquire(call_rank rank,
-                                                milliseconds patience)
+                                                milliseconds timeout)
 {
     if (m_queue.empty() && has_capacity())
     {
@@ -30,14 +30,14 @@
     admission_result out;
     out.m_expected_wait =
         expected_wait(m_drain_rates[rank], ahead, m_time.now());
-    if (out.m_expected_wait > patience)
+    if (out.m_expected_wait > timeout)
         co_return out;
-    const auto until = m_time.now() + patience;
+    const auto deadline = m_time.now() + timeout;
     const auto self = std::make_shared<waiter>(m_io, call);
     m_queue.push_back(self);
     admit_waiting();
-    while (!self->m_admitted && m_time.now() < until)
-        co_await self->m_changed.wait_until(until);
+    while (!self->m_admitted && m_time.now() < deadline)
+        co_await self->m_changed.wait_until(deadline);
     out.m_admitted = self->m_admitted;
     if (!out.m_admitted)
         std::erase(m_queue, self);
@@ -53,10 +53,10 @@
 void admission_queue::record_call(const std::string& route, milliseconds wait,
                                   milliseconds run)
 {
-    auto& pace = m_route_stats[route];
-    pace = add_call(pace, static_cast<double>(wait.count()),
-                    static_cast<double>(run.count()));
-    m_limit = adjust_limit(m_limit, pace, m_in_flight);
+    auto& stats = m_route_stats[route];
+    stats = add_call(stats, static_cast<double>(wait.count()),
+                     static_cast<double>(run.count()));
+    m_limit = adjust_limit(m_limit, stats, m_in_flight);
     admit_waiting();
 }
 
@@ -72,8 +72,8 @@
         const auto admitted = *next;
         m_queue.erase(next);
         ++m_in_flight;
-        auto& drain = m_drain_rates[admitted->m_call.m_rank];
-        drain = add_admission(drain, m_time.now());
+        auto& rate = m_drain_rates[admitted->m_call.m_rank];
+        rate = add_admission(rate, m_time.now());
         admitted->m_admitted = true;
         admitted->m_changed.notify();
     }
--- a/src/forward/allowed_regions.cpp
+++ b/src/forward/allowed_regions.cpp
@@ -9,10 +9,10 @@
 std::optional<std::set<std::string>> allowed_regions(const route& route,
                                                      const workspace* owner)
 {
-    const bool owner_binds = owner != nullptr && !owner->m_regions.empty();
+    const bool owner_restricts = owner != nullptr && !owner->m_regions.empty();
     if (route.m_regions.empty())
-        return owner_binds ? std::optional(owner->m_regions) : std::nullopt;
-    if (!owner_binds)
+        return owner_restricts ? std::optional(owner->m_regions) : std::nullopt;
+    if (!owner_restricts)
         return route.m_regions;
     std::set<std::string> both;
     std::set_intersection(route.m_regions.begin(), route.m_regions.end(),
--- a/src/forward/buffer_budget.cpp
+++ b/src/forward/buffer_budget.cpp
@@ -104,8 +104,8 @@
         m_on_level(level);
 }
 
-buffer_account::buffer_account(std::shared_ptr<buffer_budget> book)
-    : m_budget(std::move(book)), m_sequence(++m_budget->m_last_sequence)
+buffer_account::buffer_account(std::shared_ptr<buffer_budget> budget)
+    : m_budget(std::move(budget)), m_sequence(++m_budget->m_last_sequence)
 {}
 
 buffer_account::~buffer_account()
@@ -168,14 +168,14 @@
 
 void buffer_account::release(buffer_kind kind, std::uint64_t bytes)
 {
-    const auto held = m_buffered.at(index_of(kind));
-    // Less is never refused.
-    (void)set(kind, held - std::min(held, bytes));
+    const auto buffered = m_buffered.at(index_of(kind));
+    // A decrease is never refused.
+    (void)set(kind, buffered - std::min(buffered, bytes));
 }
 
 void buffer_account::end_reservation(buffer_kind kind)
 {
-    // Less is never refused.
+    // A decrease is never refused.
     (void)reserve(kind, 0);
 }
 
@@ -204,13 +204,14 @@
     m_budget->m_blocked.erase(m_sequence);
 }
 
-void buffer_account::begin_reader_wait(instant now, std::function<void()> cut)
+void buffer_account::begin_reader_wait(instant now,
+                                       std::function<void()> disconnect)
 {
     m_wait_start = now;
     m_last_read = now;
     m_read_bytes = 0;
     m_was_slow = false;
-    m_disconnect = std::move(cut);
+    m_disconnect = std::move(disconnect);
     m_budget->m_waiting_accounts.insert(this);
 }
 
@@ -243,7 +244,7 @@
     if (!waits_for_reader())
         return;
     ++m_budget->m_disconnected_readers;
-    // A copy: the cut may end this account.
+    // A copy: disconnecting may destroy this account.
     const auto action = m_disconnect;
     action();
 }
--- a/src/forward/memory_guard.cpp
+++ b/src/forward/memory_guard.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-/// How often the level is looked at while it is not calm: short beside the
-/// time in which links of this VM could fill what is left of its memory.
-constexpr milliseconds look_interval{50};
-/// A new connection waits no longer than this: callers give one up that is
-/// not read for a second.
-constexpr milliseconds longest_pause{100};
-/// The same while readers are cut: it takes longer to tell who reads slowly.
-constexpr milliseconds longest_cutting_pause{400};
-/// Runners cut off an answer that stays unread for some seconds; longer than
-/// it takes to tell who reads slowly.
-constexpr milliseconds room_patience{2500};
-/// Those that wait for room ask again and again.
-constexpr milliseconds refused_line_interval{1000};
-
-/// What the bytes are held for, to tell who filled the memory.
-std::string kinds_text(const buffer_budget& book)
+/// How often the level is checked while it is above normal: short compared to
+/// the time in which this VM's links could fill the rest of its memory.
+constexpr milliseconds poll_interval{50};
+/// Longest delay of a new connection: callers abandon a connection that is not
+/// read for a second.
+constexpr milliseconds max_delay{100};
+/// The same while slow readers are disconnected: detecting them takes longer.
+constexpr milliseconds max_disconnecting_delay{400};
+/// Shorter than the few seconds after which runners abort a response that is
+/// not read, longer than it takes to detect slow readers.
+constexpr milliseconds capacity_timeout{2500};
+/// Requests that wait for memory retry often; limits their log lines.
+constexpr milliseconds refusal_log_interval{1000};
+
+/// Buffered bytes by kind, to show what fills the memory.
+std::string format_kinds(const buffer_budget& budget)
 {
     std::string out;
     for (std::size_t i = 0; i < buffer_kind_count; ++i)
     {
         const auto kind = static_cast<buffer_kind>(i);
         out += std::string(" ") + to_string(kind) + '=' +
-               std::to_string(book.kind_bytes(kind));
+               std::to_string(budget.kind_bytes(kind));
     }
     return out;
 }
@@ -44,14 +44,14 @@
       m_budget(std::make_shared<buffer_budget>(buffer_limit(0)))
 {
     m_budget->on_level([this](pressure_level level) { handle_level(level); });
-    m_budget->on_refused([this](buffer_kind kind, std::uint64_t asked) {
-        handle_refused(kind, asked);
+    m_budget->on_refused([this](buffer_kind kind, std::uint64_t requested) {
+        handle_refused(kind, requested);
     });
 }
 
 memory_guard::~memory_guard()
 {
-    // Accounts of calls that were never ended hold on to the book.
+    // Accounts of calls that have not ended keep the budget alive.
     m_budget->on_level(nullptr);
     m_budget->on_refused(nullptr);
 }
@@ -69,51 +69,52 @@
 
 task<> memory_guard::throttle()
 {
-    const auto begun = m_time.now();
-    const auto may_last = [this] {
+    const auto started = m_time.now();
+    const auto max_duration = [this] {
         if (level() == pressure_level::calm)
             return milliseconds(0);
-        return level() == pressure_level::cutting ? longest_cutting_pause
-                                                  : longest_pause;
+        return level() == pressure_level::cutting ? max_disconnecting_delay
+                                                  : max_delay;
     };
-    while (m_time.now() < begun + may_last())
-        co_await sleep_for(m_io, look_interval);
+    while (m_time.now() < started + max_duration())
+        co_await sleep_for(m_io, poll_interval);
 }
 
-bool memory_guard::try_reserve(buffer_account& held, std::uint64_t bytes)
+bool memory_guard::try_reserve(buffer_account& account, std::uint64_t bytes)
 {
-    const bool first = m_budget->first_blocked() == &held;
+    const bool first = m_budget->first_blocked() == &account;
     if (!may_buffer_more(level(), m_budget->committed(), m_budget->bound(),
                          bytes, first))
         return false;
-    return held.reserve_more(buffer_kind::response, bytes);
+    return account.reserve_more(buffer_kind::response, bytes);
 }
 
-task<bool> memory_guard::wait_for_capacity(std::shared_ptr<buffer_account> held,
-                                           std::uint64_t bytes)
+task<bool>
+memory_guard::wait_for_capacity(std::shared_ptr<buffer_account> account,
+                                std::uint64_t bytes)
 {
-    bool room = try_reserve(*held, bytes);
-    if (room)
+    bool reserved = try_reserve(*account, bytes);
+    if (reserved)
         co_return true;
-    held->mark_blocked();
-    held->use_reservation(buffer_kind::receive_buffer);
-    const auto until = m_time.now() + room_patience;
-    while (!room && m_time.now() < until)
+    account->mark_blocked();
+    account->use_reservation(buffer_kind::receive_buffer);
+    const auto deadline = m_time.now() + capacity_timeout;
+    while (!reserved && m_time.now() < deadline)
     {
-        co_await sleep_for(m_io, look_interval);
-        room = try_reserve(*held, bytes);
+        co_await sleep_for(m_io, poll_interval);
+        reserved = try_reserve(*account, bytes);
     }
-    held->release(buffer_kind::receive_buffer,
-                  upstream_pool::receive_buffer_bytes);
-    co_return room;
+    account->release(buffer_kind::receive_buffer,
+                     upstream_pool::receive_buffer_bytes);
+    co_return reserved;
 }
 
 task<bool> memory_guard::wait_for_delivery_capacity(std::uint64_t bytes,
-                                                    instant until)
+                                                    instant deadline)
 {
     while (!m_budget->fits(buffer_kind::undelivered, bytes) &&
-           m_time.now() < until)
-        co_await sleep_for(m_io, look_interval);
+           m_time.now() < deadline)
+        co_await sleep_for(m_io, poll_interval);
     co_return m_budget->fits(buffer_kind::undelivered, bytes);
 }
 
@@ -121,7 +122,7 @@
 {
     LOG(INFO) << "event=memory_pressure level=" << to_string(level)
               << " held=" << m_budget->total() << " bound=" << m_budget->bound()
-              << kinds_text(*m_budget)
+              << format_kinds(*m_budget)
               << " waiting=" << m_budget->waiting_accounts().size();
     if (level != pressure_level::cutting ||
         std::exchange(m_disconnecting, true))
@@ -129,19 +130,19 @@
     spawn(m_io, "memory_guard.relieve", disconnect_slow_readers());
 }
 
-void memory_guard::handle_refused(buffer_kind kind, std::uint64_t asked)
+void memory_guard::handle_refused(buffer_kind kind, std::uint64_t requested)
 {
     const auto index = static_cast<std::size_t>(kind);
     ++m_refused_reservations.at(index);
-    auto& told = m_last_logged.at(index);
+    auto& last_logged = m_last_logged.at(index);
     const auto now = m_time.now();
-    if (told && now < *told + refused_line_interval)
+    if (last_logged && now < *last_logged + refusal_log_interval)
         return;
-    told = now;
-    LOG(INFO) << "event=no_room kind=" << to_string(kind) << " asked=" << asked
-              << " held=" << m_budget->total()
+    last_logged = now;
+    LOG(INFO) << "event=no_room kind=" << to_string(kind)
+              << " asked=" << requested << " held=" << m_budget->total()
               << " committed=" << m_budget->committed()
-              << " bound=" << m_budget->bound() << kinds_text(*m_budget)
+              << " bound=" << m_budget->bound() << format_kinds(*m_budget)
               << " waiting=" << m_budget->waiting_accounts().size();
 }
 
@@ -150,7 +151,7 @@
     while (level() == pressure_level::cutting)
     {
         disconnect_slowest();
-        co_await sleep_for(m_io, look_interval);
+        co_await sleep_for(m_io, poll_interval);
     }
     m_disconnecting = false;
 }
@@ -160,18 +161,18 @@
     const std::vector<buffer_account*> accounts(
         m_budget->waiting_accounts().begin(),
         m_budget->waiting_accounts().end());
-    std::vector<unread_response> answers;
-    answers.reserve(accounts.size());
+    std::vector<unread_response> responses;
+    responses.reserve(accounts.size());
     for (const auto* account : accounts)
-        answers.push_back(account->unread(m_time.now()));
-    // Nothing ends before the loop runs on: an account lives until the write
-    // that waits on it has returned.
+        responses.push_back(account->unread(m_time.now()));
+    // No account is destroyed before the event loop continues: each lives until
+    // the write that waits on it has returned.
     for (const auto index :
-         choose_aborts(answers, m_budget->total(), m_budget->bound()))
+         choose_aborts(responses, m_budget->total(), m_budget->bound()))
     {
-        LOG(INFO) << "event=reader_cut held=" << answers[index].m_buffered
-                  << " taken=" << answers[index].m_consumed
-                  << " waited_ms=" << answers[index].m_waited.count()
+        LOG(INFO) << "event=reader_cut held=" << responses[index].m_buffered
+                  << " taken=" << responses[index].m_consumed
+                  << " waited_ms=" << responses[index].m_waited.count()
                   << " cause=memory held_by_all=" << m_budget->total();
         accounts[index]->disconnect();
     }
--- a/src/forward/placement_client.cpp
+++ b/src/forward/placement_client.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// The answer comes from memory, within a round trip and beside the turn's
-/// begin; choosing without it costs less than a longer wait.
-constexpr milliseconds answer_patience{50};
-/// So many questions without an answer in a row, and the next VM is asked: one
-/// that is merely late knows more than one that has just begun.
-constexpr std::uint32_t most_unanswered = 3;
-/// A VM that did not answer is left alone this long: a beat and a half.
-constexpr milliseconds silent_for{700};
-/// Beyond the wait in line: the way there and back.
-constexpr milliseconds line_margin{20};
-/// The next ones take over if those before them are out of reach.
-constexpr std::size_t givers_wanted = 3;
+/// The service replies from memory, within a round trip and while the turn is
+/// being started; choosing an engine without it costs less than a longer wait.
+constexpr milliseconds reply_timeout{50};
+/// After this many unanswered requests in a row the next VM is used. A slow one
+/// still knows more about the engines than one that has just taken over.
+constexpr std::uint32_t max_unanswered = 3;
+/// How long an unresponsive VM is excluded: one and a half heartbeats.
+constexpr milliseconds unresponsive_backoff{700};
+/// Added to the queue timeout for the round trip.
+constexpr milliseconds queue_margin{20};
+/// The later ones take over if those before them are unreachable.
+constexpr std::size_t placement_vm_count = 3;
 
 } // namespace
 
@@ -33,7 +33,7 @@
     for (const auto& name : members)
         ranked.emplace_back(hash64(name, service), name);
     std::sort(ranked.begin(), ranked.end());
-    ranked.resize(std::min(ranked.size(), givers_wanted));
+    ranked.resize(std::min(ranked.size(), placement_vm_count));
     std::vector<std::string> out;
     out.reserve(ranked.size());
     for (auto& [rank, name] : ranked)
@@ -76,73 +76,72 @@
     const auto now = m_time.now();
     for (auto& name : placement_vms(m_members, service))
     {
-        const auto silence = m_unresponsive.find(name);
-        const bool answers = silence == m_unresponsive.end() ||
-                             silence->second.m_excluded_until <= now;
-        if (answers && m_links.connected(name))
+        const auto state = m_unresponsive.find(name);
+        const bool included = state == m_unresponsive.end() ||
+                              state->second.m_excluded_until <= now;
+        if (included && m_links.connected(name))
             return name;
     }
     return {};
 }
 
-void placement_client::record_unanswered(const std::string& giver)
+void placement_client::record_unanswered(const std::string& vm)
 {
-    auto& row = m_unresponsive[giver];
-    if (++row.m_unanswered < most_unanswered)
+    auto& row = m_unresponsive[vm];
+    if (++row.m_unanswered < max_unanswered)
         return;
-    row.m_excluded_until = m_time.now() + silent_for;
-    LOG(WARNING) << "event=places_silent vm=" << giver
+    row.m_excluded_until = m_time.now() + unresponsive_backoff;
+    LOG(WARNING) << "event=places_silent vm=" << vm
                  << " unanswered=" << row.m_unanswered;
 }
 
 task<std::optional<placement_reply>>
-placement_client::send_request(std::string giver, placement_request question,
-                               milliseconds patience)
+placement_client::send_request(std::string vm, placement_request request,
+                               milliseconds timeout)
 {
-    const auto until = m_time.now() + patience;
-    auto answer =
-        co_await m_links.request(giver, 0, std::move(question), until);
-    if (!answer)
+    const auto deadline = m_time.now() + timeout;
+    auto reply = co_await m_links.request(vm, 0, std::move(request), deadline);
+    if (!reply)
     {
-        record_unanswered(giver);
+        record_unanswered(vm);
         co_return std::nullopt;
     }
-    m_unresponsive.erase(giver);
-    const auto* told = std::get_if<placement_reply>(&answer->m_body);
-    if (told == nullptr)
+    m_unresponsive.erase(vm);
+    const auto* body = std::get_if<placement_reply>(&reply->m_body);
+    if (body == nullptr)
         co_return std::nullopt;
-    co_return *told;
+    co_return *body;
 }
 
-task<placement_result> placement_client::acquire(placement_request question)
+task<placement_result> placement_client::acquire(placement_request request)
 {
     placement_result out;
-    out.m_request = question;
-    out.m_storage_vm = select_vm(question.m_service);
+    out.m_request = request;
+    out.m_storage_vm = select_vm(request.m_service);
     if (out.m_storage_vm.empty())
         co_return out;
-    auto told =
-        co_await send_request(out.m_storage_vm, question, answer_patience);
-    if (told && told->m_outcome == placement_outcome::waiting)
+    auto reply =
+        co_await send_request(out.m_storage_vm, request, reply_timeout);
+    if (reply && reply->m_outcome == placement_outcome::waiting)
     {
-        question.m_already_queued = true;
-        const milliseconds patience(question.m_queue_timeout_ms);
-        told = co_await send_request(out.m_storage_vm, question,
-                                     patience + line_margin);
+        request.m_already_queued = true;
+        const milliseconds timeout(request.m_queue_timeout_ms);
+        reply = co_await send_request(out.m_storage_vm, request,
+                                      timeout + queue_margin);
     }
-    if (told)
-        out.m_reply = *told;
+    if (reply)
+        out.m_reply = *reply;
     co_return out;
 }
 
-void placement_client::report_end(const placement_result& grant,
+void placement_client::report_end(const placement_result& placement,
                                   placement_report report)
 {
-    if (grant.m_storage_vm.empty())
+    if (placement.m_storage_vm.empty())
         return;
-    report.m_service = grant.m_request.m_service;
-    report.m_call = grant.m_request.m_call;
-    m_links.notify(grant.m_storage_vm, report);
+    report.m_service = placement.m_request.m_service;
+    report.m_call = placement.m_request.m_call;
+    m_links.notify(placement.m_storage_vm, report);
 }
 
 } // namespace pepperturn
--- a/src/forward/quota_client.cpp
+++ b/src/forward/quota_client.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/// An owner answers from memory within a millisecond or two; a slow one is
-/// left for the next.
-constexpr milliseconds ask_patience{50};
-/// An owner that has just refused a first call is not asked again for this
-/// long: it is told most of what a burst begins, by all VMs.
-constexpr milliseconds refusal_memory{100};
-/// Whoever is refused from memory comes back no sooner than this.
-constexpr milliseconds soonest_begin{300};
-/// More refusals than this are not remembered: all workspaces of a large
-/// fleet at all their owners.
-constexpr std::size_t most_refusals_known = 16384;
+/// An owner replies from memory within 1 or 2 ms; after this timeout the next
+/// owner is asked.
+constexpr milliseconds request_timeout{50};
+/// How long the refusal of a first call is reused: otherwise all VMs send an
+/// owner most of the first calls of a burst.
+constexpr milliseconds refusal_lifetime{100};
+/// Minimum retry delay after a refusal without a request to the owner.
+constexpr milliseconds min_retry_delay{300};
+/// Bound on the remembered refusals: enough for all workspaces of a large fleet
+/// at all their owners.
+constexpr std::size_t max_refusals = 16384;
 
 } // namespace
 
@@ -47,47 +47,47 @@
 
 void quota_client::record_refusal(refusal_key key, instant until)
 {
-    if (m_refused_until.size() >= most_refusals_known)
+    if (m_refused_until.size() >= max_refusals)
         m_refused_until.clear();
     m_refused_until[std::move(key)] = until;
 }
 
 std::vector<std::string>
-quota_client::ranked_owners(const quota_request& question)
+quota_client::ranked_owners(const quota_request& request)
 {
     auto owners =
-        owners_of(m_members, question.m_workspace, owner_count_for(question));
-    // A program keeps to one owner, which so knows how far it is; others are
-    // asked where that one has no room.
-    const auto draw =
-        question.m_program == 0 ? ++m_rotation : question.m_program;
+        owners_of(m_members, request.m_workspace, owner_count_for(request));
+    // A program uses one owner, which therefore knows its progress; others are
+    // asked if that one has no free slot.
+    const auto offset =
+        request.m_program == 0 ? ++m_rotation : request.m_program;
     if (!owners.empty())
         std::rotate(owners.begin(),
                     owners.begin() +
-                        static_cast<std::ptrdiff_t>(draw % owners.size()),
+                        static_cast<std::ptrdiff_t>(offset % owners.size()),
                     owners.end());
     return owners;
 }
 
 task<std::optional<instant>>
-quota_client::request_from_owner(std::string owner, quota_request question,
+quota_client::request_from_owner(std::string owner, quota_request request,
                                  std::shared_ptr<quota_grant> out)
 {
     if (!m_links.connected(owner))
         co_return std::nullopt;
     ++out->m_owners_asked;
-    const auto answer = co_await m_links.request(owner, 0, question,
-                                                 m_time.now() + ask_patience);
-    const auto* told =
-        answer ? std::get_if<quota_reply>(&answer->m_body) : nullptr;
-    if (told == nullptr || told->m_outcome == quota_outcome::not_owner)
+    const auto reply = co_await m_links.request(owner, 0, request,
+                                                m_time.now() + request_timeout);
+    const auto* body =
+        reply ? std::get_if<quota_reply>(&reply->m_body) : nullptr;
+    if (body == nullptr || body->m_outcome == quota_outcome::not_owner)
         co_return std::nullopt;
-    out->m_outcome = told->m_outcome;
-    if (told->m_outcome == quota_outcome::over_limit)
-        co_return m_time.now() + milliseconds(told->m_retry_after_ms);
+    out->m_outcome = body->m_outcome;
+    if (body->m_outcome == quota_outcome::over_limit)
+        co_return m_time.now() + milliseconds(body->m_retry_after_ms);
     out->m_owner = owner;
-    out->m_slot = told->m_packed_grant;
-    out->m_wait = wait_of_grant(told->m_packed_grant);
+    out->m_slot = body->m_packed_grant;
+    out->m_wait = wait_of_grant(body->m_packed_grant);
     co_return std::nullopt;
 }
 
@@ -100,63 +100,63 @@
     const auto begins = m_time.now() + grant->m_wait;
     while (m_time.now() < begins)
         co_await never.wait_until(begins);
-    const bool stands =
+    const bool valid =
         link != 0 && m_links.live_connection(grant->m_owner) == link;
-    if (!stands)
+    if (!valid)
         LOG(INFO) << "event=place_void owner=" << grant->m_owner
                   << " waited_ms=" << grant->m_wait.count();
-    co_return stands;
+    co_return valid;
 }
 
-task<quota_grant> quota_client::acquire(quota_request question)
+task<quota_grant> quota_client::acquire(quota_request request)
 {
     const auto out = std::make_shared<quota_grant>();
-    out->m_request = question;
-    auto at_once = question;
-    at_once.m_queue_timeout_ms = 0;
-    std::optional<instant> room_at;
-    std::string first_to_have;
-    for (const auto& owner : ranked_owners(question))
+    out->m_request = request;
+    auto immediate = request;
+    immediate.m_queue_timeout_ms = 0;
+    std::optional<instant> free_at;
+    std::string earliest_owner;
+    for (const auto& owner : ranked_owners(request))
     {
-        const refusal_key key{question.m_workspace, owner};
-        auto until = question.m_begins_program ? refused_until(key)
-                                               : std::optional<instant>{};
-        if (until)
+        const refusal_key key{request.m_workspace, owner};
+        auto retry_at = request.m_begins_program ? refused_until(key)
+                                                 : std::optional<instant>{};
+        if (retry_at)
         {
             out->m_outcome = quota_outcome::over_limit;
-            until = m_time.now() + soonest_begin;
+            retry_at = m_time.now() + min_retry_delay;
         }
         else
-            until = co_await request_from_owner(owner, at_once, out);
+            retry_at = co_await request_from_owner(owner, immediate, out);
         if (out->m_outcome == quota_outcome::granted)
             co_return *out;
-        if (!until)
+        if (!retry_at)
             continue;
-        if (question.m_begins_program && !refused_until(key))
-            record_refusal(key, m_time.now() + refusal_memory);
-        if (room_at && *room_at <= *until)
+        if (request.m_begins_program && !refused_until(key))
+            record_refusal(key, m_time.now() + refusal_lifetime);
+        if (free_at && *free_at <= *retry_at)
             continue;
-        room_at = until;
-        first_to_have = owner;
+        free_at = retry_at;
+        earliest_owner = owner;
     }
-    if (!room_at)
+    if (!free_at)
         co_return *out;
-    if (question.m_queue_timeout_ms > 0)
+    if (request.m_queue_timeout_ms > 0)
     {
-        const auto again =
-            co_await request_from_owner(first_to_have, question, out);
-        room_at = again ? again : room_at;
+        const auto later =
+            co_await request_from_owner(earliest_owner, request, out);
+        free_at = later ? later : free_at;
     }
     if (out->m_outcome != quota_outcome::granted)
     {
-        out->m_retry_after = elapsed(m_time.now(), *room_at);
+        out->m_retry_after = elapsed(m_time.now(), *free_at);
         co_return *out;
     }
     if (!co_await wait_for_slot(out))
     {
-        // One that has started anew counts what comes now from its start on.
+        // A restarted owner has lost the slot and counts anew from its start.
         out->m_outcome = quota_outcome::over_limit;
-        out->m_retry_after = soonest_begin;
+        out->m_retry_after = min_retry_delay;
     }
     co_return *out;
 }
@@ -165,11 +165,10 @@
 {
     if (grant.m_outcome != quota_outcome::granted)
         return;
-    auto question = grant.m_request;
-    question.m_is_return = true;
-    question.m_packed_grant = grant.m_slot;
-    m_links.call(grant.m_owner, 0, question,
-                 [](const std::optional<frame>&) {});
+    auto request = grant.m_request;
+    request.m_is_return = true;
+    request.m_packed_grant = grant.m_slot;
+    m_links.call(grant.m_owner, 0, request, [](const std::optional<frame>&) {});
 }
 
 } // namespace pepperturn
--- a/src/forward/request_head.cpp
+++ b/src/forward/request_head.cpp
@@ -40,7 +40,7 @@
     return {text.data(), text.size()};
 }
 
-/// What one pass over the header lines has seen.
+/// Framing headers found in one pass over the header lines.
 struct framing
 {
     unsigned m_lengths = 0;
@@ -49,7 +49,7 @@
     bool m_only_chunked = true;
 };
 
-const char* note_line(framing& seen, std::string_view line)
+const char* check_line(framing& seen, std::string_view line)
 {
     if (line.front() == ' ' || line.front() == '\t')
         return "folded header line";
@@ -88,14 +88,14 @@
         [&](const std::string& row) { return iequals(name, row); });
 }
 
-/// Who calls, as the caller itself says.
-bool names_caller(std::string_view name, const wire_names& names)
+/// Headers in which a caller identifies itself.
+bool identifies_caller(std::string_view name, const wire_names& names)
 {
     return iequals(name, names.m_authorization) ||
            iequals(name, names.m_workspace);
 }
 
-/// Headers that a Connection header cannot take away.
+/// Headers that are forwarded even if the Connection header lists them.
 bool is_end_to_end(std::string_view name, const wire_names& names)
 {
     return iequals(name, "host") || iequals(name, names.m_request_id) ||
@@ -148,8 +148,8 @@
             old_version = line.ends_with("HTTP/1.0");
             continue;
         }
-        if (const auto* fault = note_line(seen, line))
-            return fault;
+        if (const auto* error = check_line(seen, line))
+            return error;
     }
     if (seen.m_lengths > 1)
         return "two content lengths";
@@ -164,26 +164,26 @@
 
 namespace {
 
-/// Reads PROMPT,MOST; both must fit 32 bits.
+/// Parses `PROMPT,MAX`; both must fit 32 bits.
 void read_token_count(request_fields& out, std::string_view count)
 {
     const auto comma = std::min(count.find(','), count.size());
     const auto prompt = parse_number(trimmed(count.substr(0, comma)));
-    const auto most = comma == count.size()
-                          ? std::nullopt
-                          : parse_number(trimmed(count.substr(comma + 1)));
-    constexpr std::uint64_t largest = UINT32_MAX;
-    if (!prompt || !most || *prompt > largest || *most > largest)
+    const auto max = comma == count.size()
+                         ? std::nullopt
+                         : parse_number(trimmed(count.substr(comma + 1)));
+    constexpr std::uint64_t limit = UINT32_MAX;
+    if (!prompt || !max || *prompt > limit || *max > limit)
     {
         out.m_error = "the token count is no pair of numbers";
         return;
     }
     out.m_prompt_tokens = static_cast<std::uint32_t>(*prompt);
-    out.m_max_tokens = static_cast<std::uint32_t>(*most);
+    out.m_max_tokens = static_cast<std::uint32_t>(*max);
 }
 
-/// Reads ID:TOKENS by commas; they only tell where to go best, so that what
-/// does not read is passed over.
+/// Parses a comma-separated list of `ID:TOKENS`. Parts only improve the choice
+/// of a runner, so a malformed list is ignored.
 std::vector<prompt_part> read_prompt_parts(std::string_view text)
 {
     std::vector<prompt_part> out;
@@ -230,7 +230,7 @@
         else if (request.count(names.m_token_count) == 0)
             out.m_error = "a token budget without a token count";
     }
-    // A guess that does not read is none.
+    // A malformed hint is ignored.
     const auto expected = parse_number(text(names.m_length_hint));
     if (expected && *expected <= UINT32_MAX)
         out.m_expected_tokens = static_cast<std::uint32_t>(*expected);
@@ -274,8 +274,8 @@
 {
     const auto connection = view_of(request[http::field::connection]);
     std::string out;
-    constexpr std::size_t usual_bytes = 1024;
-    out.reserve(usual_bytes);
+    constexpr std::size_t typical_bytes = 1024;
+    out.reserve(typical_bytes);
     out += view_of(request.method_string());
     out += ' ';
     out += view_of(request.target());
@@ -284,7 +284,7 @@
     {
         const auto name = view_of(row.name_string());
         if (is_set_by_system(name, names) ||
-            (attempt.m_strips_credentials && names_caller(name, names)) ||
+            (attempt.m_strips_credentials && identifies_caller(name, names)) ||
             (attempt.m_last_event_id && iequals(name, names.m_last_event)) ||
             (is_hop_by_hop(name, connection) && !is_end_to_end(name, names)))
             continue;
--- a/src/forward/runner_table.cpp
+++ b/src/forward/runner_table.cpp
@@ -12,31 +12,33 @@
 
 /// Weight of a new latency in the smoothed one.
 constexpr double latency_weight = 0.15;
-/// One answer says no more than this of a runner.
-constexpr double most_slowness = 8.0;
-/// Weight of a new latency in what is usual on its route: of some dozens.
-constexpr double usual_weight = 0.03;
-/// Weight of one result in the share that went wrong: four in a row count.
+/// Cap on the ratio that one response adds, so that an outlier counts little.
+constexpr double max_slowness = 8.0;
+/// Weight of a new latency in the route's average: some dozens of responses.
+constexpr double average_weight = 0.03;
+/// Weight of one result in the error rate: four failures in a row dominate it.
 constexpr double result_weight = 0.25;
-/// The share fades to a third in this time, in seconds.
-constexpr double trouble_memory_s = 5.0;
-constexpr milliseconds first_avoidance{300};
-constexpr std::uint32_t most_doublings = 4;
-constexpr milliseconds full_avoidance{40};
-
-double faded_trouble(const runner_row& row, instant now)
+/// Time in which the error rate decays to about a third.
+constexpr double error_rate_decay_s = 5.0;
+/// Back-off after a failure, doubled for each further one in a row.
+constexpr milliseconds initial_backoff{300};
+constexpr std::uint32_t max_doublings = 4;
+/// Back-off after a runner has reported that it is full.
+constexpr milliseconds full_backoff{40};
+
+double decayed_error_rate(const runner_row& row, instant now)
 {
     if (row.m_error_rate == 0)
         return 0;
     return row.m_error_rate *
            std::exp(-to_seconds(now - row.m_error_rate_time) /
-                    trouble_memory_s);
+                    error_rate_decay_s);
 }
 
-/// Adds the runners that follow \p count points drawn by \p key.
-void take_from_ring(const std::map<std::uint64_t, const runner_row*>& ring,
-                    std::uint64_t key, std::size_t count,
-                    std::vector<const runner_row*>& out)
+/// Appends the runners that follow \p count points derived from \p key.
+void append_from_ring(const std::map<std::uint64_t, const runner_row*>& ring,
+                      std::uint64_t key, std::size_t count,
+                      std::vector<const runner_row*>& out)
 {
     for (std::size_t i = 0; i < count && !ring.empty(); ++i)
     {
@@ -64,7 +66,7 @@
             continue;
         }
         auto& row = m_rows[change.m_id];
-        // What was seen of an earlier life says nothing of this one.
+        // Statistics from before a restart do not apply to the new process.
         if (known &&
             row.m_info.m_started_at_ms != change.m_info->m_started_at_ms)
         {
@@ -129,12 +131,12 @@
 }
 
 bool runner_table::is_eligible(const runner_row& row,
-                               const runner_query& choice) const
+                               const runner_query& query) const
 {
     const auto& info = row.m_info;
-    return is_usable(row) && !choice.m_excluded.contains(info.m_id) &&
-           (!choice.m_regions || choice.m_regions->contains(region_of(
-                                     m_zones, info.m_availability_zone)));
+    return is_usable(row) && !query.m_excluded.contains(info.m_id) &&
+           (!query.m_regions || query.m_regions->contains(region_of(
+                                    m_zones, info.m_availability_zone)));
 }
 
 runner_row* runner_table::find_row(const std::string& id)
@@ -163,121 +165,122 @@
 
 runner_table::row_list
 runner_table::runners_for_prefix(const service_rows& rows,
-                                 const runner_query& choice) const
+                                 const runner_query& query) const
 {
     row_list out;
-    const auto near = rows.m_zones.find(choice.m_availability_zone);
-    if (choice.m_shared_prefix != 0 && near != rows.m_zones.end())
-        take_from_ring(near->second, choice.m_shared_prefix, runners_per_prefix,
-                       out);
+    const auto same_zone = rows.m_zones.find(query.m_availability_zone);
+    if (query.m_shared_prefix != 0 && same_zone != rows.m_zones.end())
+        append_from_ring(same_zone->second, query.m_shared_prefix,
+                         runners_per_prefix, out);
     return out;
 }
 
 runner_table::row_list
 runner_table::select_candidates(const service_rows& rows,
-                                const runner_query& choice) const
+                                const runner_query& query) const
 {
     row_list out;
-    const auto near = rows.m_zones.find(choice.m_availability_zone);
-    if (near != rows.m_zones.end())
+    const auto same_zone = rows.m_zones.find(query.m_availability_zone);
+    if (same_zone != rows.m_zones.end())
     {
-        take_from_ring(near->second, m_seed, max_candidates, out);
+        append_from_ring(same_zone->second, m_seed, max_candidates, out);
     }
-    if (const auto* kept = find_incarnation(choice.m_preferred_incarnation))
+    if (const auto* cached = find_incarnation(query.m_preferred_incarnation))
     {
-        if (kept->m_info.m_service == choice.m_service)
-            out.push_back(kept);
+        if (cached->m_info.m_service == query.m_service)
+            out.push_back(cached);
     }
-    const auto none = [&] {
+    const auto none_eligible = [&] {
         return std::none_of(out.begin(), out.end(), [&](const runner_row* row) {
-            return is_eligible(*row, choice);
+            return is_eligible(*row, query);
         });
     };
-    // A zone may be empty, emptied, or its few runners may all have refused.
+    // The zone may have no runners, be evacuated, or all may have refused.
     for (const auto& [zone, ring] : rows.m_zones)
     {
-        if (distance_between(m_zones, zone, choice.m_availability_zone) ==
+        if (distance_between(m_zones, zone, query.m_availability_zone) ==
                 zone_distance::same_region &&
-            none())
-            take_from_ring(ring, m_seed, max_candidates, out);
+            none_eligible())
+            append_from_ring(ring, m_seed, max_candidates, out);
     }
-    if (none())
-        take_from_ring(rows.m_all, m_seed, max_candidates, out);
+    if (none_eligible())
+        append_from_ring(rows.m_all, m_seed, max_candidates, out);
     std::sort(out.begin(), out.end());
     out.erase(std::unique(out.begin(), out.end()), out.end());
     return out;
 }
 
 runner_candidate runner_table::make_candidate(const runner_row& row,
-                                              const runner_query& choice,
+                                              const runner_query& query,
                                               instant now) const
 {
     const auto& id = row.m_info.m_id;
     runner_candidate out;
     out.m_load = static_cast<double>(row.m_in_flight) / row.m_info.m_slots;
     const auto distance = distance_between(
-        m_zones, row.m_info.m_availability_zone, choice.m_availability_zone);
+        m_zones, row.m_info.m_availability_zone, query.m_availability_zone);
     out.m_other_zone = distance != zone_distance::same_zone;
     out.m_other_region = distance == zone_distance::other_region;
-    out.m_connected = choice.m_connected && choice.m_connected(id);
+    out.m_connected = query.m_connected && query.m_connected(id);
     out.m_has_cached_prompt =
-        row.m_incarnation == choice.m_preferred_incarnation;
+        row.m_incarnation == query.m_preferred_incarnation;
     out.m_slowness = row.m_slowness;
-    out.m_error_rate = faded_trouble(row, now);
+    out.m_error_rate = decayed_error_rate(row, now);
     out.m_deprioritised = row.m_backoff_until > now;
     out.m_cold = row.m_cold_until > now;
-    out.m_random_tiebreak = hash64(id, choice.m_random_tiebreak);
+    out.m_random_tiebreak = hash64(id, query.m_random_tiebreak);
     return out;
 }
 
 const runner_row* runner_table::choose_among(const row_list& rows,
-                                             const row_list& homes,
-                                             const runner_query& choice,
+                                             const row_list& prefix_runners,
+                                             const runner_query& query,
                                              instant now) const
 {
-    row_list used;
+    row_list eligible;
     std::vector<runner_candidate> candidates;
     for (const auto* row : rows)
     {
-        if (!is_eligible(*row, choice) ||
-            (choice.m_warm_only && row->m_cold_until > now))
+        if (!is_eligible(*row, query) ||
+            (query.m_warm_only && row->m_cold_until > now))
             continue;
-        used.push_back(row);
-        candidates.push_back(make_candidate(*row, choice, now));
+        eligible.push_back(row);
+        candidates.push_back(make_candidate(*row, query, now));
         candidates.back().m_has_shared_part =
-            std::find(homes.begin(), homes.end(), row) != homes.end();
+            std::find(prefix_runners.begin(), prefix_runners.end(), row) !=
+            prefix_runners.end();
     }
     const auto best = select_runner(candidates);
-    return best ? used[*best] : nullptr;
+    return best ? eligible[*best] : nullptr;
 }
 
-const runner_row* runner_table::choose(const runner_query& choice, instant now,
-                                       std::size_t* weighed) const
+const runner_row* runner_table::choose(const runner_query& query, instant now,
+                                       std::size_t* compared) const
 {
-    const auto listed = m_by_service.find(choice.m_service);
-    if (listed == m_by_service.end())
+    const auto found = m_by_service.find(query.m_service);
+    if (found == m_by_service.end())
         return nullptr;
-    const auto& service = listed->second;
+    const auto& service = found->second;
     row_list rows;
-    row_list homes;
+    row_list prefix_runners;
     const bool few = service.m_all.size() <= max_candidates;
     if (!few)
     {
-        homes = runners_for_prefix(service, choice);
-        rows = select_candidates(service, choice);
-        rows.insert(rows.end(), homes.begin(), homes.end());
+        prefix_runners = runners_for_prefix(service, query);
+        rows = select_candidates(service, query);
+        rows.insert(rows.end(), prefix_runners.begin(), prefix_runners.end());
     }
-    const auto* best = choose_among(rows, homes, choice, now);
-    if (weighed != nullptr)
-        *weighed += rows.size();
+    const auto* best = choose_among(rows, prefix_runners, query, now);
+    if (compared != nullptr)
+        *compared += rows.size();
     if (best != nullptr)
         return best;
     rows.clear();
     for (const auto& [hash, row] : service.m_all)
         rows.push_back(row);
-    if (weighed != nullptr)
-        *weighed += rows.size();
-    return choose_among(rows, homes, choice, now);
+    if (compared != nullptr)
+        *compared += rows.size();
+    return choose_among(rows, prefix_runners, query, now);
 }
 
 void runner_table::record_request_start(const std::string& id)
@@ -301,13 +304,13 @@
     if (row == nullptr)
         return;
     row->m_consecutive_failures = 0;
-    // Below a millisecond the clock says nothing.
+    // Latencies are whole milliseconds: shorter ones are treated as one.
     const auto value = std::max(1.0, static_cast<double>(latency.count()));
-    const auto [usual, is_first] =
+    const auto [average, is_first] =
         m_average_first_byte_ms.try_emplace(route, value);
     if (!is_first)
-        usual->second += usual_weight * (value - usual->second);
-    const auto slowness = std::min(value / usual->second, most_slowness);
+        average->second += average_weight * (value - average->second);
+    const auto slowness = std::min(value / average->second, max_slowness);
     row->m_slowness += latency_weight * (slowness - row->m_slowness);
 }
 
@@ -324,9 +327,8 @@
     auto* row = find_row(id);
     if (row == nullptr)
         return;
-    const auto doublings =
-        std::min(row->m_consecutive_failures, most_doublings);
-    row->m_backoff_until = now + first_avoidance * (1U << doublings);
+    const auto doublings = std::min(row->m_consecutive_failures, max_doublings);
+    row->m_backoff_until = now + initial_backoff * (1U << doublings);
     ++row->m_consecutive_failures;
 }
 
@@ -335,7 +337,7 @@
     auto* row = find_row(id);
     if (row == nullptr)
         return;
-    const double before = faded_trouble(*row, now);
+    const double before = decayed_error_rate(*row, now);
     row->m_error_rate = before + result_weight * ((good ? 0.0 : 1.0) - before);
     row->m_error_rate_time = now;
 }
@@ -344,7 +346,7 @@
 {
     if (auto* row = find_row(id))
         row->m_backoff_until =
-            std::max(row->m_backoff_until, now + full_avoidance);
+            std::max(row->m_backoff_until, now + full_backoff);
 }
 
 } // namespace pepperturn
--- a/test/forward/test_buffer_budget.cpp
+++ b/test/forward/test_buffer_budget.cpp
@@ -9,97 +9,98 @@
 
 } // namespace
 
-TEST_CASE("held bytes are summed by kind, workspace and VM", "[readers]")
+TEST_CASE("buffered bytes are summed by kind, workspace and VM", "[readers]")
 {
-    const auto book = std::make_shared<buffer_budget>(1000);
-    buffer_account first(book);
+    const auto budget = std::make_shared<buffer_budget>(1000);
+    buffer_account first(budget);
     CHECK(first.set(buffer_kind::request, 100));
     first.set_workspace("a");
     CHECK(first.add(buffer_kind::response, 50));
     {
-        buffer_account second(book);
+        buffer_account second(budget);
         second.set_workspace("b");
         CHECK(second.set(buffer_kind::history, 30));
         CHECK(second.set(buffer_kind::history, 40));
         second.release(buffer_kind::history, 10);
         CHECK(second.total() == 30);
-        CHECK(book->total() == 180);
-        CHECK(book->workspace_bytes("a") == 150);
-        CHECK(book->workspace_bytes("b") == 30);
-        CHECK(book->kind_bytes(buffer_kind::history) == 30);
+        CHECK(budget->total() == 180);
+        CHECK(budget->workspace_bytes("a") == 150);
+        CHECK(budget->workspace_bytes("b") == 30);
+        CHECK(budget->kind_bytes(buffer_kind::history) == 30);
         second.release(buffer_kind::history, 1000);
         CHECK(second.total() == 0);
         CHECK(second.set(buffer_kind::undelivered, 7));
     }
-    CHECK(book->workspace_bytes("b") == 0);
-    CHECK(book->kind_bytes(buffer_kind::undelivered) == 0);
-    CHECK(book->total() == 150);
-    CHECK(book->peak() == 190);
+    CHECK(budget->workspace_bytes("b") == 0);
+    CHECK(budget->kind_bytes(buffer_kind::undelivered) == 0);
+    CHECK(budget->total() == 150);
+    CHECK(budget->peak() == 190);
 }
 
-TEST_CASE("levels are told once each", "[readers]")
+TEST_CASE("each level change is reported once", "[readers]")
 {
-    const auto book = std::make_shared<buffer_budget>(1000);
-    std::vector<pressure_level> told;
-    book->on_level([&](pressure_level level) { told.push_back(level); });
-    buffer_account account(book);
+    const auto budget = std::make_shared<buffer_budget>(1000);
+    std::vector<pressure_level> reported;
+    budget->on_level([&](pressure_level level) { reported.push_back(level); });
+    buffer_account account(budget);
     for (const std::uint64_t bytes : {100, 510, 520, 460, 820, 810, 0})
         CHECK(account.set(buffer_kind::response, bytes));
-    CHECK(told == std::vector<pressure_level>{pressure_level::pausing,
-                                              pressure_level::cutting,
-                                              pressure_level::calm});
+    CHECK(reported == std::vector<pressure_level>{pressure_level::pausing,
+                                                  pressure_level::cutting,
+                                                  pressure_level::calm});
 }
 
-TEST_CASE("only callers that leave something unread can be cut", "[readers]")
+TEST_CASE("only callers with unread data can be disconnected", "[readers]")
 {
-    const auto book = std::make_shared<buffer_budget>(1000);
+    const auto budget = std::make_shared<buffer_budget>(1000);
     const instant start{};
-    int cuts = 0;
-    buffer_account account(book);
+    int disconnects = 0;
+    buffer_account account(budget);
     account.disconnect();
-    CHECK(cuts == 0);
+    CHECK(disconnects == 0);
     CHECK(account.set(buffer_kind::undelivered, 10));
-    account.begin_reader_wait(start, [&] { ++cuts; });
+    account.begin_reader_wait(start, [&] { ++disconnects; });
     account.record_read(4, start + milliseconds(500));
     CHECK(account.unread(start + milliseconds(3000)) ==
           unread_response{10, 4, milliseconds(3000), milliseconds(2500)});
-    CHECK(book->waiting_accounts().contains(&account));
+    CHECK(budget->waiting_accounts().contains(&account));
     account.disconnect();
-    CHECK(cuts == 1);
+    CHECK(disconnects == 1);
     account.end_reader_wait(start + milliseconds(3000));
-    CHECK(book->waiting_accounts().empty());
-    CHECK(book->slow_readers() == 1);
-    CHECK(book->disconnected_readers() == 1);
-    // It stopped, then took the rest at once.
-    account.begin_reader_wait(start, [&] { ++cuts; });
+    CHECK(budget->waiting_accounts().empty());
+    CHECK(budget->slow_readers() == 1);
+    CHECK(budget->disconnected_readers() == 1);
+    // It stalled, then read the rest at once.
+    account.begin_reader_wait(start, [&] { ++disconnects; });
     account.record_read(100000, start + milliseconds(2000));
     account.end_reader_wait(start + milliseconds(2010));
-    CHECK(book->slow_readers() == 2);
-    // A wait that a usual caller causes.
-    account.begin_reader_wait(start, [&] { ++cuts; });
+    CHECK(budget->slow_readers() == 2);
+    // A wait of a length usual for a caller.
+    account.begin_reader_wait(start, [&] { ++disconnects; });
     account.end_reader_wait(start + milliseconds(30));
-    CHECK(book->slow_readers() == 2);
+    CHECK(budget->slow_readers() == 2);
 }
 
-TEST_CASE("answers are gathered in the order of their requests", "[readers]")
+TEST_CASE("blocked responses proceed in the order of their requests",
+          "[readers]")
 {
-    const auto book = std::make_shared<buffer_budget>(1000);
-    buffer_account second(book);
-    CHECK(book->first_blocked() == nullptr);
+    const auto budget = std::make_shared<buffer_budget>(1000);
+    buffer_account second(budget);
+    CHECK(budget->first_blocked() == nullptr);
     {
-        buffer_account third(book);
+        buffer_account third(budget);
         third.mark_blocked();
-        CHECK(book->first_blocked() == &third);
+        CHECK(budget->first_blocked() == &third);
         second.mark_blocked();
         second.mark_blocked();
-        CHECK(book->first_blocked() == &second);
+        CHECK(budget->first_blocked() == &second);
         second.clear_blocked();
-        CHECK(book->first_blocked() == &third);
+        CHECK(budget->first_blocked() == &third);
     }
-    CHECK(book->first_blocked() == nullptr);
+    CHECK(budget->first_blocked() == nullptr);
 }
 
-TEST_CASE("room that is refused changes nothing", "[readers]")
+TEST_CASE("a refused reservation changes nothing", "[readers]")
 {
     struct row
     {
@@ -109,7 +110,7 @@
         std::uint64_t m_more;
         bool m_given;
     };
-    // Of 1000 bytes, 950 are for work and the rest for delivery alone.
+    // Of 1000 bytes, 950 are for new work and the rest only for delivery.
     const auto row = GENERATE(values<struct row>({
         {"work up to its share", buffer_kind::response, 900, 50, true},
         {"work beyond it", buffer_kind::response, 900, 51, false},
@@ -119,46 +120,46 @@
     }));
     INFO(row.m_what);
     const bool reserves = GENERATE(false, true);
-    const auto book = std::make_shared<buffer_budget>(1000);
+    const auto budget = std::make_shared<buffer_budget>(1000);
     std::uint64_t refused = 0;
-    book->on_refused(
+    budget->on_refused(
         [&](buffer_kind, std::uint64_t bytes) { refused += bytes; });
-    buffer_account first(book);
-    buffer_account second(book);
-    // Reserved room is as good as held room to everyone else.
+    buffer_account first(budget);
+    buffer_account second(budget);
+    // To other accounts, reserved bytes count like buffered ones.
     CHECK((reserves ? first.reserve(buffer_kind::request, row.m_before)
                     : first.set(buffer_kind::request, row.m_before)));
     CHECK(second.add(row.m_kind, row.m_more) == row.m_given);
     CHECK(second.total() == (row.m_given ? row.m_more : 0));
     CHECK(refused == (row.m_given ? 0 : row.m_more));
-    CHECK(book->committed() == row.m_before + second.total());
-    CHECK(book->peak() <= book->bound());
+    CHECK(budget->committed() == row.m_before + second.total());
+    CHECK(budget->peak() <= budget->bound());
 }
 
-TEST_CASE("what is reserved is held without asking again", "[readers]")
+TEST_CASE("reserved bytes are buffered without another check", "[readers]")
 {
-    const auto book = std::make_shared<buffer_budget>(1000);
-    buffer_account first(book);
-    buffer_account second(book);
+    const auto budget = std::make_shared<buffer_budget>(1000);
+    buffer_account first(budget);
+    buffer_account second(budget);
     CHECK(first.reserve(buffer_kind::response, 300));
     CHECK(first.reserve(buffer_kind::receive_buffer, 200));
-    CHECK(book->total() == 0);
+    CHECK(budget->total() == 0);
     CHECK(second.set(buffer_kind::request, 450));
     CHECK_FALSE(second.add(buffer_kind::request, 1));
     CHECK(first.add(buffer_kind::response, 300));
     first.use_reservation(buffer_kind::receive_buffer);
-    CHECK(book->total() == 950);
+    CHECK(budget->total() == 950);
     first.release(buffer_kind::receive_buffer, 200);
     CHECK_FALSE(second.add(buffer_kind::request, 1));
     first.end_reservation(buffer_kind::receive_buffer);
     CHECK(second.add(buffer_kind::request, 200));
-    // An answer that goes on beyond what was reserved asks for it.
+    // A response longer than its reservation must reserve more.
     CHECK_FALSE(first.reserve_more(buffer_kind::response, 1));
     second.release(buffer_kind::request, 650);
     CHECK(first.reserve_more(buffer_kind::response, 500));
-    CHECK(book->committed() == 800);
-    CHECK(book->total() == 300);
+    CHECK(budget->committed() == 800);
+    CHECK(budget->total() == 300);
     first.set_workspace("a");
-    CHECK(book->workspace_bytes("a") == 300);
-    CHECK(book->workspace_bytes("") == 0);
+    CHECK(budget->workspace_bytes("a") == 300);
+    CHECK(budget->workspace_bytes("") == 0);
 }
--- a/test/forward/test_request_head.cpp
+++ b/test/forward/test_request_head.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("heads that two readers could understand differently",
+TEST_CASE("heads that two parsers could interpret differently",
           "[request_head]")
 {
     struct sample
@@ -81,13 +81,13 @@
     CHECK(std::string(fault == nullptr ? "" : fault) == each.m_fault);
 }
 
-TEST_CASE("chunks of the old version are refused", "[request_head]")
+TEST_CASE("chunked requests of HTTP/1.0 are refused", "[request_head]")
 {
     CHECK(find_ambiguity("POST / HTTP/1.0\r\nHost: a\r\n"
                          "Transfer-Encoding: chunked\r\n\r\n") != nullptr);
 }
 
-TEST_CASE("any bytes are judged without harm", "[request_head][fuzz]")
+TEST_CASE("arbitrary bytes do not crash the head check", "[request_head][fuzz]")
 {
     CHECK(rc::check("heads", [](const std::string& text) {
         (void)find_ambiguity(text);
@@ -95,7 +95,7 @@
     }));
 }
 
-TEST_CASE("fields of a request", "[request_head]")
+TEST_CASE("header fields of a request are decoded", "[request_head]")
 {
     const auto names = test_names();
     const auto request = parse("POST /a HTTP/1.1\r\nHost: h:80\r\n"
@@ -133,7 +133,7 @@
     CHECK(decode_fields(bad, names) == nothing);
 }
 
-TEST_CASE("the head that a runner gets", "[request_head]")
+TEST_CASE("the head that is sent to a runner", "[request_head]")
 {
     const auto names = test_names();
     const auto request =
--- a/test/forward/test_runner_table.cpp
+++ b/test/forward/test_runner_table.cpp
@@ -31,7 +31,7 @@
                    runner("leaves", "z1", true)});
     runner_query choice{"svc", "", "z1", {}, 1, {}};
     CHECK(chosen(table, choice) == "near");
-    // One request there, and the other zone is better.
+    // With one request in flight there, the other zone costs less.
     table.record_request_start("near");
     CHECK(chosen(table, choice) == "far");
     choice.m_preferred_incarnation = "near";
@@ -44,8 +44,7 @@
     CHECK(chosen(table, choice) == "-");
 }
 
-TEST_CASE("one answer that is late outweighs a kept connection",
-          "[runner_table]")
+TEST_CASE("one late response outweighs an idle connection", "[runner_table]")
 {
     struct sample
     {
@@ -64,7 +63,8 @@
     CHECK(chosen(table, choice) == each.m_chosen);
 }
 
-TEST_CASE("a failing runner is avoided for a time", "[runner_table]")
+TEST_CASE("a failing runner is deprioritised during its back-off",
+          "[runner_table]")
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z2")});
@@ -75,25 +75,24 @@
     CHECK(chosen(table, choice, now + milliseconds(301)) == "a");
     table.record_failure("a", now);
     CHECK(chosen(table, choice, now + milliseconds(301)) == "b");
-    // With nobody else there, it is better than nothing.
+    // It is still used if no other runner is eligible.
     runner_query only = choice;
     only.m_excluded = {"b"};
     CHECK(chosen(table, only, now) == "a");
 }
 
-TEST_CASE("a runner that fails while it looks well is used less",
-          "[runner_table]")
+TEST_CASE("a runner with some failed requests is used less", "[runner_table]")
 {
     runner_table table;
     table.replace({runner("grey", "z1"), runner("b", "z2")});
     const runner_query choice{"svc", "", "z1", {}, 1, {}};
     const instant now{};
     CHECK(chosen(table, choice, now) == "grey");
-    // Two errors in five answers.
+    // Two errors in five responses.
     for (const bool good : {true, false, true, true, false})
         table.record_result("grey", good, now);
     CHECK(chosen(table, choice, now) == "b");
-    // It gets another chance.
+    // The error rate has decayed.
     CHECK(chosen(table, choice, now + milliseconds(20000)) == "grey");
     // One error in fifty changes nothing.
     for (int i = 0; i < 50; ++i)
@@ -101,12 +100,12 @@
     CHECK(chosen(table, choice, now) == "b");
 }
 
-TEST_CASE("a slow runner is told from a slow route", "[runner_table]")
+TEST_CASE("a slow runner is distinguished from a slow route", "[runner_table]")
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z1"), runner("slow", "z1"),
                    runner("unused", "z1")});
-    // The work of two routes differs by four times, whoever does it.
+    // Requests of one route take four times as long on every runner.
     const auto connected = [](const std::string& id) { return id != "unused"; };
     runner_query choice{"svc", "", "z1", {}, 1, connected};
     for (int i = 0; i < 60; ++i)
@@ -123,7 +122,7 @@
     for (choice.m_random_tiebreak = 1; choice.m_random_tiebreak < 20;
          ++choice.m_random_tiebreak)
     {
-        // No connection is opened to an unused one for the sake of chance.
+        // No connection to the unused runner is opened by the random tie-break.
         const auto id = chosen(table, choice);
         CHECK((id == "a" || id == "b"));
     }
@@ -131,7 +130,7 @@
     CHECK(chosen(table, choice) == "unused");
 }
 
-TEST_CASE("a new list keeps what was seen", "[runner_table]")
+TEST_CASE("a new list keeps the statistics of runners", "[runner_table]")
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z1")});
@@ -145,7 +144,8 @@
     CHECK(table.find("a")->m_in_flight == 0);
 }
 
-TEST_CASE("the longest prefix of the host decides", "[routing]")
+TEST_CASE("the longest matching prefix of the host selects the route",
+          "[routing]")
 {
     routing_config config;
     for (const auto& [name, host, prefix] :
@@ -179,7 +179,8 @@
     CHECK((found == nullptr ? "-" : found->m_name) == each.m_expected);
 }
 
-TEST_CASE("a runner that starts anew under its id is unknown", "[runners]")
+TEST_CASE("a runner that restarts under its id loses its statistics",
+          "[runners]")
 {
     runner_table table;
     runner_info info{"r1", "svc", "1.2.3.4:5", "z", 4, false, 1000};
@@ -197,12 +198,12 @@
     CHECK(row->m_consecutive_failures == 0);
     CHECK(row->m_in_flight == 0);
     CHECK(row->m_error_rate == 0);
-    // What the life before had read is gone.
+    // The cache of the earlier incarnation is lost.
     CHECK(table.find_incarnation(before) == nullptr);
     CHECK(table.find_incarnation(row->m_incarnation) == row);
 }
 
-TEST_CASE("runners of an evacuated zone get nothing", "[runner_table]")
+TEST_CASE("runners of an evacuated zone receive no requests", "[runner_table]")
 {
     runner_table table;
     table.replace({runner("a", "z1"), runner("b", "z2")});
@@ -211,7 +212,7 @@
     CHECK(chosen(table, choice) == "a");
     table.evacuate({"z1", "nowhere"});
     CHECK(chosen(table, choice) == "b");
-    // The last zone as well: nobody else may serve it.
+    // With all zones evacuated no runner is eligible.
     table.evacuate({"z1", "z2"});
     CHECK(chosen(table, choice) == "-");
     table.evacuate({});
@@ -233,13 +234,13 @@
     choice.m_warm_only = true;
     CHECK(chosen(table, choice, now) == "warm");
     CHECK(chosen(table, choice, now + milliseconds(3000)) == "cold");
-    // It turns cold again under the same id.
+    // It becomes cold again under the same id.
     cold.m_cold_remaining = milliseconds(500);
     (void)table.update({{"cold", cold}}, now + milliseconds(4000));
     CHECK(chosen(table, choice, now + milliseconds(4400)) == "warm");
 }
 
-TEST_CASE("a choice looks at as many runners however many there are",
+TEST_CASE("the number of runners compared is independent of fleet size",
           "[runner_table]")
 {
     const auto fleet = GENERATE(500, 2000);
@@ -257,14 +258,15 @@
     REQUIRE(row != nullptr);
     CHECK(row->m_info.m_availability_zone == "z1");
     CHECK(weighed <= max_candidates + runners_per_prefix + 1);
-    // The zone is emptied: another one's are looked at as well.
+    // The zone is evacuated: runners of another one are compared as well.
     table.evacuate({"z1"});
     row = table.choose(choice, {}, &weighed);
     REQUIRE(row != nullptr);
     CHECK(weighed <= 3 * (max_candidates + runners_per_prefix + 1));
 }
 
-TEST_CASE("all VMs together use all of many runners", "[runner_table]")
+TEST_CASE("all VMs together use all runners of a large service",
+          "[runner_table]")
 {
     constexpr int fleet = 400;
     constexpr std::uint64_t vms = 800;
@@ -288,12 +290,12 @@
             most = std::max(most, count);
         return most;
     };
-    // With one seed for all, all first calls meet at one runner.
+    // With one seed for all, all first calls go to one runner.
     CHECK(busiest(false) == static_cast<int>(vms));
     CHECK(busiest(true) <= 20);
 }
 
-TEST_CASE("prompts that begin alike meet at few of many runners",
+TEST_CASE("prompts with a shared prefix go to few of many runners",
           "[runner_table]")
 {
     std::vector<runner_info> runners;
@@ -308,14 +310,14 @@
         runner_query choice{"svc", "", "z1", {}, vm * 7919, {}};
         choice.m_shared_prefix = 99;
         ++calls[chosen(table, choice)];
-        // A VM that has a call there takes another one that has read it.
+        // A VM with a call in flight there uses another one with the prefix.
         table.record_request_start(chosen(table, choice));
         ++calls[chosen(table, choice)];
     }
     CHECK(calls.size() <= runners_per_prefix);
 }
 
-TEST_CASE("runners of other regions, and those that a request may not go to",
+TEST_CASE("runners of other regions, and regions that a request excludes",
           "[runner_table]")
 {
     runner_table table;
@@ -325,7 +327,7 @@
     (void)table.replace({runner("near", "n-b"), runner("far", "s-a")});
     runner_query choice{"svc", "", "n-a", {}, 1, {}};
     CHECK(chosen(table, choice) == "near");
-    // A call there is better than the way, all slots taken are not.
+    // One call in flight costs less than another region, full slots do not.
     table.record_request_start("near");
     CHECK(chosen(table, choice) == "near");
     for (int i = 0; i < 3; ++i)
@@ -339,7 +341,8 @@
     CHECK(chosen(table, choice) == "-");
 }
 
-TEST_CASE("both the route and the workspace bind", "[home_regions]")
+TEST_CASE("both the route and the workspace restrict the regions",
+          "[home_regions]")
 {
     route where;
     workspace owner;
