--- a/src/forward/request_head.cpp
+++ b/src/forward/request_head.cpp
@@ -148,8 +148,8 @@
             old_version = line.ends_with("HTTP/1.0");
             continue;
         }
-        if (const auto* error = check_line(seen, line))
-            return error;
+        if (const auto* fault = check_line(seen, line))
+            return fault;
     }
     if (seen.m_lengths > 1)
         return "two content lengths";
--- a/src/forward/runner_table.cpp
+++ b/src/forward/runner_table.cpp
@@ -168,9 +168,9 @@
                                  const runner_query& query) const
 {
     row_list out;
-    const auto same_zone = rows.m_zones.find(query.m_availability_zone);
-    if (query.m_shared_prefix != 0 && same_zone != rows.m_zones.end())
-        append_from_ring(same_zone->second, query.m_shared_prefix,
+    const auto local_zone = rows.m_zones.find(query.m_availability_zone);
+    if (query.m_shared_prefix != 0 && local_zone != rows.m_zones.end())
+        append_from_ring(local_zone->second, query.m_shared_prefix,
                          runners_per_prefix, out);
     return out;
 }
@@ -180,10 +180,10 @@
                                 const runner_query& query) const
 {
     row_list out;
-    const auto same_zone = rows.m_zones.find(query.m_availability_zone);
-    if (same_zone != rows.m_zones.end())
+    const auto local_zone = rows.m_zones.find(query.m_availability_zone);
+    if (local_zone != rows.m_zones.end())
     {
-        append_from_ring(same_zone->second, m_seed, max_candidates, out);
+        append_from_ring(local_zone->second, m_seed, max_candidates, out);
     }
     if (const auto* cached = find_incarnation(query.m_preferred_incarnation))
     {
@@ -257,10 +257,10 @@
 const runner_row* runner_table::choose(const runner_query& query, instant now,
                                        std::size_t* compared) const
 {
-    const auto found = m_by_service.find(query.m_service);
-    if (found == m_by_service.end())
+    const auto listed = m_by_service.find(query.m_service);
+    if (listed == m_by_service.end())
         return nullptr;
-    const auto& service = found->second;
+    const auto& service = listed->second;
     row_list rows;
     row_list prefix_runners;
     const bool few = service.m_all.size() <= max_candidates;
