--- a/include/pepperturn/forward/placement_client.hpp
+++ b/include/pepperturn/forward/placement_client.hpp
@@ -66,7 +66,7 @@
     };
 
     void record_unanswered(const std::string& vm);
-    /// The first reachable placement VM; empty: none.
+    /// The first placement VM that is connected and not excluded; empty: none.
     [[nodiscard]] std::string select_vm(std::uint64_t service) const;
     task<std::optional<placement_reply>> send_request(std::string vm,
                                                       placement_request request,
