--- a/include/pepperturn/forward/caller_connection.hpp
+++ b/include/pepperturn/forward/caller_connection.hpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// One caller's connection: reads requests one by one and writes answers.
+/// One caller's connection: reads requests one by one and writes responses.
 ///
-/// A caller that does not read holds its own answer up, not the loop: writes
-/// wait for it, what waits counts as held bytes, and the wait has an end.
+/// A caller that does not read delays only its own response, not the event
+/// loop: writes wait asynchronously, what waits is accounted as buffered bytes,
+/// and each wait has a deadline.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -16,7 +17,7 @@
 enum class read_outcome : std::uint8_t
 {
     request,
-    /// The connection is over, or was idle for too long.
+    /// The connection has ended, or was idle for too long.
     closed,
     /// To be refused with \ref read_result::m_status, then closed.
     refused
@@ -28,15 +29,15 @@
     caller_request m_request;
     unsigned m_status = 0;
     std::string m_reason;
-    /// Refused for want of memory: when there may be some again.
+    /// Refused for lack of memory: when the caller may retry.
     std::optional<milliseconds> m_retry_after;
 };
 
 class caller_connection : public std::enable_shared_from_this<caller_connection>
 {
 public:
-    /// What the kernel may keep for a caller, in bytes: a usual request or
-    /// answer at once, a long one over some round trips.
+    /// Kernel socket buffer sizes, in bytes: a typical request or response fits
+    /// at once, a long one takes some round trips.
     static constexpr int send_buffer_bytes = 16 << 10;
     static constexpr int receive_buffer_bytes = 32 << 10;
 
@@ -44,45 +45,48 @@
                       memory_guard& memory, tcp::socket socket);
 
     [[nodiscard]] task<read_result> read_request(caller_limits limits);
-    /// What is held for the request that was read last.
+    /// Accounts for the bytes that are buffered for the last request.
     [[nodiscard]] const std::shared_ptr<buffer_account>& buffered() const
     {
         return m_buffered;
     }
-    /// Reads the rest of a request that was refused before it was read, and
-    /// keeps nothing of it: closed at once, the refusal would be lost.
+    /// Reads and discards the rest of a request that was refused before it was
+    /// read completely. If the connection were closed at once, the reset would
+    /// discard the refusal before the caller has read it.
     [[nodiscard]] task<> discard_rest_of_request();
-    /// The caller has until then to take the answer to the present request.
-    void set_write_deadline(instant until)
+    /// Deadline for the caller to read the response to the current request.
+    void set_write_deadline(instant deadline)
     {
-        m_write_deadline = until;
+        m_write_deadline = deadline;
     }
-    /// It was cut because it did not read, or could not be written to.
+    /// Whether the connection was aborted because the caller did not read, or
+    /// because there was no memory to write to it.
     [[nodiscard]] bool write_aborted() const
     {
         return m_write_aborted;
     }
-    /// Why it was cut, for the lines.
+    /// Why it was aborted, as text for the log.
     [[nodiscard]] const char* write_abort_reason() const
     {
-        return m_memory_available ? " not read by its caller"
-                                  : " no room to deliver it";
+        return m_memory_available ? " caller did not read the response in time"
+                                  : " not enough memory to write the response";
     }
 
-    /// A whole answer. \returns false if the caller is gone.
+    /// Writes a complete response. \returns false if the caller has
+    /// disconnected
     [[nodiscard]] task<bool> write_response(const upstream_response& answer,
                                             bool keep_alive);
-    /// An answer that comes in pieces, then \ref end_stream.
+    /// Begins a chunked response: then \ref write_chunk, then \ref end_stream.
     [[nodiscard]] task<bool> begin_stream(const upstream_response& head,
                                           bool keep_alive);
     [[nodiscard]] task<bool> write_chunk(std::string_view bytes);
     [[nodiscard]] task<bool> end_stream();
 
-    /// Pulls the switch once the caller closes, until \ref stop_watching.
+    /// Aborts \p aborter once the caller closes, until \ref stop_watching.
     void watch_for_close(const std::shared_ptr<abort_signal>& aborter);
     void stop_watching();
 
-    /// Ends the connection if no request is under way.
+    /// Ends the connection if no request is in progress.
     void close_if_idle();
     void close();
     [[nodiscard]] bool idle() const
@@ -91,19 +95,19 @@
     }
 
 private:
-    /// \param charged bytes that are held only for this write
+    /// \param charged bytes that are buffered for this write only
     task<bool> write_all(std::string_view head, std::string_view body,
                          std::size_t charged);
-    /// When the caller is given up that has not taken what is written now.
+    /// When the current write times out.
     [[nodiscard]] instant write_deadline() const;
-    /// \param room what was found to be free for this wait
-    void begin_write_wait(std::size_t charged, std::size_t room);
+    /// \param reserved bytes that were found to be available for this wait
+    void begin_write_wait(std::size_t charged, std::size_t reserved);
     void end_write_wait();
-    /// Ends the connection, with what the kernel still has for it.
+    /// Resets the connection and discards what the kernel still has for it.
     void abort_connection();
 
-    /// Ends a read under way after \p span, and notes that it did.
-    void set_read_timeout(milliseconds span);
+    /// Cancels a pending read after \p timeout and sets \ref m_read_timed_out.
+    void set_read_timeout(milliseconds timeout);
 
     const clock& m_time;
     memory_guard& m_memory;
@@ -113,9 +117,9 @@
     std::shared_ptr<buffer_account> m_buffered;
     std::optional<instant> m_write_deadline;
     bool m_write_aborted = false;
-    /// For what was written last.
+    /// For the last write: there was memory to buffer it.
     bool m_memory_available = true;
-    /// The present answer is a stream.
+    /// The current response is a stream.
     bool m_streaming = false;
     bool m_read_timed_out = false;
     boost::beast::flat_buffer m_buffer;
@@ -123,7 +127,7 @@
     std::uint64_t m_watch_generation = 0;
 };
 
-/// Own answer with a short text as body.
+/// A response of the proxy itself with a short text as body.
 [[nodiscard]] upstream_response text_response(unsigned status,
                                               const std::string& text);
 
--- a/include/pepperturn/forward/event_reader.hpp
+++ b/include/pepperturn/forward/event_reader.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Reads a stream of server-sent events as it passes: how many there were and
-/// what their data said.
+/// Incremental parser for server-sent events: counts the events of a stream
+/// and collects their data.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,27 @@
 class event_reader
 {
 public:
-    /// \param keep_data collect the data for \ref data
-    explicit event_reader(bool keep_data) : m_collect_data(keep_data) {}
+    /// \param collect_data collect the events' data for \ref data
+    explicit event_reader(bool collect_data) : m_collect_data(collect_data) {}
 
     void consume(std::string_view bytes);
 
-    /// Events that were ended by an empty line.
+    /// Events that were terminated by an empty line.
     [[nodiscard]] std::uint32_t complete_events() const
     {
         return m_events;
     }
-    /// Events of which anything was passed on.
+    /// Events of which at least one byte was read, complete or not.
     [[nodiscard]] std::uint32_t started_events() const
     {
         return m_events + (m_in_event || !m_line.empty() ? 1 : 0);
     }
-    /// Id of the last whole event that had a number as id.
+    /// Id of the last complete event with a numeric id.
     [[nodiscard]] std::optional<std::uint64_t> last_id() const
     {
         return m_last_id;
     }
-    /// Data of each whole event with a line feed behind it.
+    /// Data of each complete event, each followed by a line feed.
     [[nodiscard]] const std::string& data() const
     {
         return m_data;
--- a/include/pepperturn/forward/exchange.hpp
+++ b/include/pepperturn/forward/exchange.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// One attempt: a request goes to one runner, and its answer comes back.
+/// One attempt: sends a request to one runner and reads its response.
 #pragma once
 
 #include "pepperturn/forward/held_bytes.hpp"
@@ -13,19 +13,19 @@
 
 namespace pepperturn {
 
-/// Why a request is being given up from outside the attempt.
+/// Why a request is aborted from outside the attempt.
 enum class abort_cause : std::uint8_t
 {
     none,
     caller_left,
     timeout,
-    /// The caller did not take what had come.
+    /// The caller did not read the response in time.
     not_read
 };
 
 [[nodiscard]] const char* to_string(abort_cause cause);
 
-/// Lets others give a request up while an attempt is under way.
+/// Lets other code abort a request while an attempt is in progress.
 class abort_signal
 {
 public:
@@ -34,7 +34,7 @@
     {
         return m_cause;
     }
-    /// What to do at once when the switch is pulled; empty: nothing.
+    /// Sets what \ref abort runs at once; empty: nothing.
     void on_abort(std::function<void()> action);
 
 private:
@@ -42,16 +42,16 @@
     std::function<void()> m_action;
 };
 
-/// What the evidence says of an attempt.
+/// What is known of an attempt after its end.
 enum class attempt_outcome : std::uint8_t
 {
-    /// A whole answer, or a stream that ended whole.
+    /// A complete response, or a stream that ended completely.
     answered,
-    /// Certain: the runner has not run it and will not.
+    /// Certain: the runner has not run the request and will not run it.
     not_run,
-    /// The request may have run; there is no whole answer.
+    /// The request may have run; there is no complete response.
     unknown,
-    /// Given up through the abort switch after it was sent.
+    /// Aborted through the \ref abort_signal after it was sent.
     aborted
 };
 
@@ -68,22 +68,24 @@
 {
     attempt_outcome m_outcome = attempt_outcome::unknown;
     upstream_response m_response;
-    /// From sending to the first byte of the answer; empty: none came.
+    /// From sending to the first byte of the response; empty: none arrived.
     std::optional<milliseconds> m_first_byte;
-    /// From its begin to its end, a connect among it.
+    /// From the start of the attempt to its end, including a connect.
     milliseconds m_duration{0};
-    /// No first byte came in the time that was left for it.
+    /// No first byte arrived within its time-out.
     bool m_first_byte_timed_out = false;
-    /// Not sent: this VM has no room for what would come back.
+    /// Not sent: this VM lacks the memory to buffer the response.
     bool m_out_of_memory = false;
-    /// Parts of a stream were passed on.
+    /// The response was forwarded to the caller as a stream.
     bool m_streamed = false;
-    /// For a runner that said it is full: when it thinks to have room.
+    /// From a runner that refused the request: when it expects to have free
+    /// capacity.
     std::optional<milliseconds> m_retry_after;
     std::string m_reason;
 };
 
-/// Takes a stream while it comes. Each returns false if the caller is gone.
+/// Receives a stream as it arrives. Each function returns false if the caller
+/// has disconnected.
 struct stream_sink
 {
     std::function<task<bool>(const upstream_response& head)> m_begin;
@@ -93,35 +95,37 @@
 struct attempt_request
 {
     const caller_request& m_request;
-    /// What the runner gets as body.
+    /// Body that is sent to the runner.
     std::string_view m_body;
     std::string m_request_id;
     /// Name of the route.
     std::string m_route;
-    /// Answers with 200 go to the sink as they come.
+    /// Responses with status 200 are passed to the sink as they arrive.
     bool m_streaming = false;
     instant m_deadline{};
-    /// When another runner is tried instead, if no whole answer has come.
+    /// When the attempt is abandoned for another runner, if no complete
+    /// response has arrived.
     std::optional<instant> m_attempt_deadline;
     std::optional<std::uint32_t> m_urgency;
-    /// The last event that the caller has, for a run that goes on from it.
+    /// Id of the last event that the caller has received, for a run that
+    /// resumes after it.
     std::optional<std::uint64_t> m_last_event;
-    /// The run is given up after this long without a first byte, then without
-    /// a further one; empty: only as above, or at the deadline.
+    /// Time-outs for the first byte, and for the gap between pieces of the
+    /// body; empty: only the deadlines above apply.
     std::optional<milliseconds> m_first_byte_timeout;
     std::optional<milliseconds> m_gap_timeout;
-    /// Whose it is; see \ref attempt_head.
+    /// See \ref attempt_head.
     bool m_strip_credentials = false;
     std::string m_workspace = {};
-    /// Asked at the last moment before anything is sent; empty: yes.
+    /// Checked immediately before anything is sent; empty: always true.
     std::function<bool()> m_may_send = {};
-    /// Keeps \ref m_body, which a runner may still be taking when the attempt
-    /// is over.
+    /// Keeps \ref m_body alive, which may still be being sent when the attempt
+    /// has ended.
     std::shared_ptr<const void> m_body_owner = {};
-    /// Where the bytes held for it count; null: nowhere.
+    /// Accounts for the bytes that are buffered for it; null: not accounted.
     std::shared_ptr<buffer_account> m_buffered = {};
-    /// Asked before more of an answer is gathered: this VM can hold so many
-    /// bytes more. Empty: yes.
+    /// Waits until this VM can buffer so many more bytes of a response, and
+    /// returns false if it cannot. Empty: always possible.
     std::function<task<bool>(std::uint64_t)> m_wait_for_memory = {};
 };
 
--- a/include/pepperturn/forward/proxy.hpp
+++ b/include/pepperturn/forward/proxy.hpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// An edge VM's work: takes callers' requests, chooses runners, retries where
-/// the evidence allows it, and answers honestly.
+/// The request path of an edge VM: accepts callers' requests, selects runners,
+/// retries where it is known that this cannot run a request twice, or where the
+/// route allows it, and reports to the caller whether the request ran.
 #pragma once
 
 #include "pepperturn/forward/caller_connection.hpp"
@@ -19,16 +20,18 @@
 
 namespace pepperturn {
 
-/// What the proxy needs where callers have keys.
+/// What the proxy needs to admit requests of workspaces, where callers need
+/// keys.
 struct workspace_admission
 {
-    /// Time since the configuration was surely the newest.
+    /// Time since the configuration was last confirmed to be the newest.
     std::function<milliseconds()> m_config_age;
     staleness_limits m_staleness_limits;
-    /// Null: nothing is limited.
+    /// Null: no rate limits are enforced.
     quota_client* m_quota = nullptr;
 };
 
+/// HTTP proxy between callers and runners.
 class proxy
 {
 public:
@@ -37,39 +40,41 @@
 
     [[nodiscard]] bool listen(const tcp::endpoint& at, std::string& reason);
 
-    /// Takes a newer configuration; an older one is refused.
+    /// Puts a newer configuration in force.
+    /// \returns false if it is not newer than the one in force
     /// \param revision of the configuration in the platform's store
     bool apply_config(routing_config config, std::uint64_t revision = 0);
-    /// Until this is called, configurations are fresh and nothing is limited.
-    void enable_workspace_admission(workspace_admission guard);
-    /// Asks \p places for engines; until this is called, this VM chooses them
-    /// by itself.
-    void set_placement_client(placement_client& places);
-    /// Callers need keys, by the configuration in force.
+    /// Until this is called, every configuration is treated as fresh and no
+    /// rate limits are enforced.
+    void enable_workspace_admission(workspace_admission admission);
+    /// Requests placements from the placement service through \p client; until
+    /// this is called, this VM selects engines locally.
+    void set_placement_client(placement_client& client);
+    /// Whether the configuration in force requires callers to present keys.
     [[nodiscard]] bool requires_keys() const
     {
         return m_config && m_config->m_directory;
     }
-    /// Takes the whole list of runners.
+    /// Replaces the list of runners.
     void set_runners(const std::vector<runner_info>& runners);
     void apply_runner_changes(const std::vector<runner_change>& changes);
-    /// Nothing more goes to the runners of \p zones.
+    /// Sends no further requests to the runners of \p zones.
     void evacuate(const std::vector<std::string>& zones);
     void set_zones(const zone_map& zones)
     {
         m_zones = zones;
         m_runners.set_zones(zones);
     }
-    /// Callers and runners are spread by what is drawn from \p seed; VMs whose
-    /// seeds are alike draw alike.
+    /// Seeds the random values that spread requests over runners. VMs with the
+    /// same seed make the same choices, so each VM needs its own.
     void set_random_seed(std::uint64_t seed);
-    /// Counts calls to cold runners with others; until this is called, none is
-    /// used while another one is there.
-    void set_cold_client(cold_runner_client& leaves)
+    /// Counts calls to cold runners together with other VMs; until this is
+    /// called, no cold runner with a limit is used.
+    void set_cold_client(cold_runner_client& client)
     {
-        m_cold_client = &leaves;
+        m_cold_client = &client;
     }
-    /// \param memory_mb of the VM, for this process; 0: not told
+    /// \param memory_mb of the VM, in MiB, for this process; 0: unknown
     void set_memory_limit(std::uint32_t memory_mb)
     {
         m_memory.set_memory(memory_mb);
@@ -83,7 +88,7 @@
         return m_config != nullptr;
     }
 
-    /// Answers close their connections from now on.
+    /// From now on, every response closes its connection.
     void begin_drain();
     void stop_accepting();
     void close_idle();
@@ -95,7 +100,7 @@
     {
         return m_metrics;
     }
-    /// All figures for operators, one line each.
+    /// All metrics for operators, one `name value` a line.
     [[nodiscard]] std::string metrics_text() const;
     [[nodiscard]] std::uint64_t upstream_connections() const
     {
@@ -103,48 +108,49 @@
     }
 
 private:
-    /// A question for a place while it is under way.
+    /// A placement request that has not been replied to yet.
     struct pending_placement
     {
         explicit pending_placement(asio::io_context& io) : m_completion(io) {}
         async_event m_completion;
         bool m_done = false;
-        /// Nobody waits for it any more: the place goes back.
+        /// The call has ended: the placement is released when it arrives.
         bool m_abandoned = false;
         placement_result m_grant;
     };
-    /// One request while it is worked on.
+    /// State of one request from its arrival to its response.
     struct call
     {
         caller_request m_request;
         request_fields m_fields;
-        /// Where what is held for it counts.
+        /// Accounts for the bytes that are buffered for it.
         std::shared_ptr<buffer_account> m_buffered;
         std::shared_ptr<const routing_config> m_config;
         const route* m_route = nullptr;
-        /// Whose it is, where callers have keys; null: nobody's.
+        /// The workspace it belongs to, where callers need keys; null: none.
         const workspace* m_workspace = nullptr;
         std::uint64_t m_config_revision = 0;
-        /// Leave to run once.
+        /// Permission to run once under the workspace's rate limit.
         quota_grant m_quota_grant;
-        /// Attempts that may have run.
+        /// Number of attempts that may have run.
         unsigned m_possible_runs = 0;
         instant m_arrived{};
         instant m_deadline{};
         std::shared_ptr<abort_signal> m_aborter;
         bool m_keep_alive = true;
-        /// What goes to the runner.
+        /// Body for the runner: the turn history, then the request's body.
         std::string m_body;
         std::string m_preferred_runner;
-        /// Earlier calls of its program have been answered.
+        /// Earlier calls of its program have been answered already.
         bool m_continues_program = false;
-        /// It counts at the engine gate.
+        /// It occupies a slot of the engine admission queue.
         bool m_holds_gate_slot = false;
-        /// Asked before it is known whether the call may run; null: not.
+        /// Requested before it is known whether the call may run; null: not
+        /// requested.
         std::shared_ptr<pending_placement> m_pending_placement;
-        /// Its place at an engine.
+        /// Its reserved engine slot.
         placement_result m_placement;
-        /// The end of that place has not been told.
+        /// The end of that placement has not been reported yet.
         bool m_placement_unreported = false;
         begin_request m_begin;
         bool m_budget_reserved = false;
@@ -154,40 +160,41 @@
         std::string m_runner;
         std::string m_reason;
     };
-    /// How far the attempts of a request have come.
+    /// Progress of a request over its attempts.
     struct attempt_progress
     {
         unsigned m_possible_runs = 0;
         unsigned m_refusals = 0;
-        /// Cold runners that bear no further call now.
+        /// Cold runners that were not allowed a further call.
         unsigned m_cold_denials = 0;
-        /// The attempt under way may be followed by another if it may have
+        /// The current attempt may be followed by another even if it may have
         /// run.
         bool m_may_retry = false;
         std::optional<milliseconds> m_retry_after;
-        /// A runner's error, to be passed on if no other does better.
+        /// A runner's error response, used if no other runner succeeds.
         std::optional<upstream_response> m_fallback_response;
     };
-    /// A question to the owners of a limit while it is under way.
+    /// A request to the owners of a rate limit that is not replied to yet.
     struct pending_quota
     {
         explicit pending_quota(asio::io_context& io) : m_completion(io) {}
         async_event m_completion;
         bool m_done = false;
-        /// Nobody waits for it any more: a grant goes back.
+        /// The call has ended: a grant is returned when it arrives.
         bool m_abandoned = false;
         quota_grant m_grant;
     };
     struct call_result
     {
-        /// Empty: a stream that was answered or cut already.
+        /// Empty: a stream that has been sent or aborted already.
         std::optional<upstream_response> m_response;
-        /// The connection cannot go on.
+        /// The response was aborted; the connection must be closed.
         bool m_aborted = false;
     };
 
-    /// Lets go of connections to runners that are no longer used.
-    /// \param restarted ids
+    /// Closes idle connections to runners that were removed, are draining or
+    /// were restarted.
+    /// \param restarted ids of restarted runners
     void close_unused_connections(const std::vector<std::string>& restarted);
     task<> accept_callers();
     task<> serve_connection(std::shared_ptr<caller_connection> caller);
@@ -195,69 +202,78 @@
                                  read_result read);
     task<bool> serve_request(std::shared_ptr<caller_connection> caller,
                              caller_request request);
-    /// Waits for \p ready while this VM has only just started.
+    /// Waits for \p ready within the first moments after this VM's start.
     task<> wait_for_startup(std::shared_ptr<call> work,
                             std::function<bool()> ready);
-    /// Until when a request waits for what this VM lacks at its start.
+    /// How long a request waits for state that this VM has not received yet
+    /// after its start.
     [[nodiscard]] instant startup_deadline(const call& work) const;
     task<call_result> handle(std::shared_ptr<caller_connection> caller,
                              std::shared_ptr<call> work);
     task<std::optional<upstream_response>>
     begin_turn(std::shared_ptr<call> work);
-    /// Finds out whose a request is; an answer: it is refused.
+    /// Identifies the workspace of a request.
+    /// \returns a response if the request is refused
     [[nodiscard]] std::optional<upstream_response> admit_caller(call& work);
-    /// This VM has heard how old its configuration is.
+    /// Whether this VM has received the age of its configuration.
     [[nodiscard]] bool config_age_known() const;
-    /// This VM may still act on the configuration that the request came under.
+    /// Whether this VM may still act on the configuration that the request
+    /// arrived under.
     [[nodiscard]] bool config_is_fresh(const call& work) const;
-    /// Asks for leave to run a request, beside what else is done for it; null:
-    /// it needs none.
+    /// Requests permission to run under the workspace's rate limit,
+    /// concurrently with the other preparations of the call; null: none is
+    /// needed.
     [[nodiscard]] std::shared_ptr<pending_quota>
     request_quota(const std::shared_ptr<call>& work);
-    /// An answer: it is refused.
+    /// \returns a response if the request is refused
     task<std::optional<upstream_response>>
     await_quota(std::shared_ptr<call> work,
-                std::shared_ptr<pending_quota> asked);
-    /// Leave to run a request once more, at another runner.
+                std::shared_ptr<pending_quota> pending);
+    /// Requests permission to run a request once more, on another runner.
     task<bool> request_retry_quota(std::shared_ptr<call> work);
     void release_quota(const call& work);
-    /// The request has been answered otherwise.
+    /// Called if the request ended without waiting for its quota.
     static void abandon_quota(call& work,
-                              const std::shared_ptr<pending_quota>& asked);
-    /// Counts what became of a request of its workspace.
-    void count_workspace(const call& work, unsigned status, bool cut);
+                              const std::shared_ptr<pending_quota>& pending);
+    /// Counts the outcome of a request for its workspace.
+    void count_workspace(const call& work, unsigned status, bool aborted);
     [[nodiscard]] upstream_response refuse_stale_config(call& work);
-    /// Who goes first when engines have queues.
+    /// The call's rank where calls queue for engines.
     [[nodiscard]] call_rank rank_of(const call& work) const;
-    /// Waits for a place at the engines; an answer: it is refused.
+    /// Waits for a slot of the local engine admission queue.
+    /// \returns a result if the request is refused
     task<std::optional<call_result>> wait_for_gate(std::shared_ptr<call> work);
-    /// Asks for a place at an engine, beside what else is done for a request.
+    /// Requests a placement concurrently with the other preparations of the
+    /// call.
     void request_placement(const std::shared_ptr<call>& work);
     [[nodiscard]] placement_request
     make_placement_request(const call& work, const std::string& service);
-    /// Waits for the place that was asked for, or asks for one now; an answer:
-    /// the request is refused.
+    /// Waits for the placement that was requested, or requests one now.
+    /// \returns a result if the request is refused
     task<std::optional<call_result>>
     await_placement(std::shared_ptr<call> work,
                     std::shared_ptr<runner_query> choice);
-    /// Asks for a place at another engine than those that refused it.
+    /// Requests a placement on an engine other than those that refused the
+    /// call.
     task<> request_other_placement(std::shared_ptr<call> work,
                                    std::shared_ptr<runner_query> choice);
-    /// The engine of the place, if this VM can use it; null: it chooses.
+    /// The engine of the placement, if this VM can use it; null: it selects one
+    /// itself.
     [[nodiscard]] const runner_row*
     placed_runner(const call& work, const runner_query& choice) const;
-    /// Leave to send a call to a runner that is cold; others need none.
+    /// Requests permission to send a call to \p target if that is cold; other
+    /// runners need none.
     task<bool> may_use_cold_runner(std::shared_ptr<call> work,
                                    runner_row target);
-    /// Tells how the attempt ended.
-    /// \param events that came
+    /// Reports to the placement service how the attempt ended.
+    /// \param events received from the engine
     void report_placement(call& work, const attempt_result& result,
                           std::uint32_t events);
-    /// What was not used goes back.
+    /// Releases a placement that was not used.
     void release_placement(call& work);
     task<call_result> forward(std::shared_ptr<caller_connection> caller,
                               std::shared_ptr<call> work);
-    /// Passes a stream on to the caller.
+    /// Makes the sink that forwards a stream to the caller.
     [[nodiscard]] stream_sink
     make_sink(const std::shared_ptr<caller_connection>& caller,
               const std::shared_ptr<call>& work,
@@ -268,40 +284,45 @@
                                     stream_relay& relay);
     task<> watch_deadline(std::shared_ptr<call> work);
     void settle(call& work, std::uint32_t tokens);
-    /// Where the call's prompt was read.
+    /// Where the call's prompt is cached after it ran.
     [[nodiscard]] prompt_location locate_prompt(const call& work) const;
     [[nodiscard]] std::string choose_service(const call& work) const;
     [[nodiscard]] runner_query make_runner_choice(call& work) const;
-    /// The request may go to another runner though this one may run it.
+    /// Whether the request may be sent to another runner even if this one may
+    /// have run it.
     [[nodiscard]] static bool may_retry(const call& work,
                                         const attempt_progress& state);
-    /// How long a call on \p route waits for its first byte before another
-    /// runner is tried, with a try set aside; empty: as long as for the rest.
+    /// Time-out for the first byte before another runner is tried, with an
+    /// early retry reserved in the budget; empty: no early retry, only the
+    /// attempt's own deadline applies.
     [[nodiscard]] std::optional<milliseconds>
     reserve_early_retry(const route& route);
-    /// \param wait as \ref take_try gave it
+    /// \param wait as \ref reserve_early_retry returned it
     void record_early_retry(const route& route,
                             std::optional<milliseconds> wait,
                             const attempt_result& result);
-    /// \param last_event what the caller has of the stream already
+    /// \param last_event id of the last event that the caller has received
     task<attempt_result> attempt(std::shared_ptr<call> work, runner_row target,
-                                 bool may_repeat,
+                                 bool may_retry,
                                  std::optional<std::uint64_t> last_event,
                                  stream_sink sink);
-    /// What an attempt's end means; empty: go on with another runner.
+    /// Decides what follows from the end of an attempt.
+    /// \returns empty to try another runner
     [[nodiscard]] std::optional<call_result>
     evaluate_attempt(call& work, attempt_progress& state,
                      attempt_result result);
-    /// The answer when no further attempt is made.
-    [[nodiscard]] call_result
-    finish_without_response(call& work, attempt_progress& state, bool given_up);
-    /// This VM has no room for an answer.
+    /// The result when no further attempt is made or is possible.
+    /// \param timed_out the call was aborted, or must not be sent any more
+    [[nodiscard]] call_result finish_without_response(call& work,
+                                                      attempt_progress& state,
+                                                      bool timed_out);
+    /// The result when this VM lacks the memory to buffer a response.
     [[nodiscard]] call_result refuse_for_memory(call& work,
                                                 attempt_progress& state);
-    [[nodiscard]] upstream_response refuse(call& work, const std::string& why,
-                                           milliseconds come_back);
+    [[nodiscard]] upstream_response
+    refuse(call& work, const std::string& reason, milliseconds retry_after);
     [[nodiscard]] upstream_response fail(call& work, unsigned status,
-                                         const std::string& why);
+                                         const std::string& reason);
     void log_request_end(const call& work, unsigned status);
 
     asio::io_context& m_io;
@@ -316,19 +337,20 @@
     zone_map m_zones;
     admission_queue m_gate;
     workspace_admission m_admission;
-    /// Null: calls to cold runners are not counted.
+    /// Null: cold runners with a limit are not used.
     cold_runner_client* m_cold_client = nullptr;
-    /// Null: this VM chooses engines by itself.
+    /// Null: this VM selects engines locally.
     placement_client* m_placement_client = nullptr;
     std::shared_ptr<const routing_config> m_config;
     std::uint64_t m_config_revision = 0;
     std::set<std::shared_ptr<caller_connection>> m_callers;
     traffic_metrics m_metrics;
-    /// Of routes whose calls may be repeated.
+    /// Times to the first byte, of routes whose calls are idempotent.
     std::map<std::string, response_times> m_first_byte_times;
     retry_budget m_early_retry_budget;
     instant m_started{};
-    /// Of requests that wait for this VM to know enough to serve them.
+    /// Events of requests that wait for this VM to receive the state it needs
+    /// to serve them.
     std::set<std::shared_ptr<async_event>> m_startup_waiters;
     std::size_t m_active_requests = 0;
     std::uint64_t m_random_value = 0;
--- a/include/pepperturn/forward/stream_relay.hpp
+++ b/include/pepperturn/forward/stream_relay.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// A stream on its way to a caller, over one run or several: what of it may
-/// be passed on, and where the next run goes on.
+/// State of a stream that is relayed to a caller over one run or several:
+/// which bytes may be forwarded, and after which event the next run resumes.
 #pragma once
 
 #include "pepperturn/forward/event_reader.hpp"
@@ -13,14 +13,14 @@
 class stream_relay
 {
 public:
-    /// \param resumable a run that is cut may be followed by another, so only
-    /// whole events are passed on
-    /// \param keep_data collect what the events say
-    /// \param last_event what the caller has already
-    stream_relay(bool resumable, bool keep_data,
+    /// \param resumable an aborted run may be followed by another, so only
+    /// complete events are forwarded
+    /// \param collect_data collect the events' data
+    /// \param last_event id of the last event that the caller has received
+    stream_relay(bool resumable, bool collect_data,
                  std::optional<std::uint64_t> last_event);
 
-    /// The head has gone to the caller.
+    /// The head has been sent to the caller.
     void mark_started()
     {
         m_started = true;
@@ -30,14 +30,14 @@
         return m_started;
     }
 
-    /// What is to be passed on now that \p bytes have come.
+    /// \returns what may be forwarded after \p bytes have been received
     [[nodiscard]] std::string consume(std::string_view bytes);
-    /// The rest, once the run has ended whole.
+    /// \returns the remaining bytes, once the run has ended completely
     [[nodiscard]] std::string flush();
-    /// The run was cut: what came of an unfinished event is dropped.
+    /// The run was aborted: discards the bytes of an incomplete event.
     void discard_partial_event();
 
-    /// Where the next run goes on; empty: from the start.
+    /// Id of the event after which the next run resumes; empty: it starts over.
     [[nodiscard]] std::optional<std::uint64_t> last_event() const;
     [[nodiscard]] const event_reader& events() const
     {
--- a/include/pepperturn/forward/traffic_metrics.hpp
+++ b/include/pepperturn/forward/traffic_metrics.hpp
@@ -14,12 +14,12 @@
 {
 public:
     void count(const std::string& name, std::uint64_t by = 1);
-    /// Time from a request's arrival to its answer's end.
-    void record_response(milliseconds took);
-    /// Time from a turn's arrival until it was sent to a runner.
-    void record_turn_begin(milliseconds took);
+    /// \param duration from a request's arrival to the end of its response
+    void record_response(milliseconds duration);
+    /// \param duration from a turn's arrival to the reply of the storage VMs
+    void record_turn_begin(milliseconds duration);
 
-    /// What became of the requests of one workspace.
+    /// Outcomes of the requests of one workspace.
     [[nodiscard]] workspace_counts& of_workspace(const std::string& name)
     {
         return m_workspaces.counts_of(name);
--- a/include/pepperturn/forward/upstream_pool.hpp
+++ b/include/pepperturn/forward/upstream_pool.hpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Kept connections to runners. One that gets bytes or an end while it is
-/// idle is closed: those bytes belong to no request.
+/// Pool of keep-alive connections to runners. An idle connection that receives
+/// bytes or is closed by the runner is dropped: those bytes belong to no
+/// request.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -22,7 +23,7 @@
 
     boost::beast::tcp_stream m_stream;
     boost::beast::flat_buffer m_buffer;
-    /// The runner may close it after this.
+    /// The runner may close it after this instant.
     instant m_usable_until{};
     bool m_idle = false;
     bool m_reused = false;
@@ -31,28 +32,30 @@
 class upstream_pool
 {
 public:
-    /// What the kernel may keep for a connection, in bytes: a usual prompt or
-    /// answer at once. Bytes that a runner has sent and nobody has read yet
-    /// count as this VM's memory.
+    /// Kernel socket buffer sizes, in bytes: a typical prompt or response fits
+    /// at once. Bytes that a runner has sent and that are not read yet take up
+    /// this VM's memory.
     static constexpr int send_buffer_bytes = 32 << 10;
     static constexpr int receive_buffer_bytes = 16 << 10;
 
     upstream_pool(asio::io_context& io, const clock& time);
 
-    /// A kept connection that is still good; null: there is none.
+    /// An idle connection that is still usable; null: there is none.
     [[nodiscard]] std::shared_ptr<upstream_connection>
     take(const std::string& runner);
     [[nodiscard]] bool has_idle(const std::string& runner) const
     {
         return m_idle.contains(runner);
     }
-    /// A new one; null with \p reason set if it does not come up in time.
+    /// Opens a new connection; null with \p reason set if it is not established
+    /// within \p timeout.
     [[nodiscard]] task<std::shared_ptr<upstream_connection>>
-    connect(std::string address, milliseconds patience, std::string& reason);
+    connect(std::string address, milliseconds timeout, std::string& reason);
     void put_back(const std::string& runner,
                   std::shared_ptr<upstream_connection> connection,
-                  milliseconds usable);
-    /// Closes the idle connections of every runner that \p keep refuses.
+                  milliseconds usable_for);
+    /// Closes the idle connections of every runner for which \p keep returns
+    /// false.
     void retain(const std::function<bool(const std::string&)>& keep);
 
     [[nodiscard]] std::uint64_t opened() const
--- a/src/forward/caller_connection.cpp
+++ b/src/forward/caller_connection.cpp
@@ -16,18 +16,19 @@
 namespace {
 
 constexpr std::size_t read_bytes = 8192;
-/// An answer to a request of which no deadline is known is short.
-constexpr milliseconds write_patience{10000};
-/// The kernel takes a caller for dead that leaves bytes unacknowledged, or its
-/// window shut, for this long. Longer than usual deadlines: a caller that
-/// takes its answer up again in time is to get it.
-constexpr milliseconds caller_silence{10000};
-/// A refused request's rest is read for so long.
-constexpr milliseconds discard_patience{500};
-/// A body of the largest size passes in this time on a slow link.
-constexpr milliseconds body_patience{10000};
-/// The parser reads at most so much at once.
-constexpr std::size_t most_read_bytes = 64U << 10U;
+/// Write time-out for responses to requests without a known deadline, which
+/// are short.
+constexpr milliseconds default_write_timeout{10000};
+/// The kernel treats a caller as dead that leaves bytes unacknowledged, or its
+/// receive window closed, for this long. Longer than usual deadlines, so that a
+/// caller that resumes reading in time gets its response.
+constexpr milliseconds unresponsive_timeout{10000};
+/// How long the rest of a refused request is read.
+constexpr milliseconds discard_timeout{500};
+/// A body of the maximum size arrives in this time over a slow link.
+constexpr milliseconds body_timeout{10000};
+/// The parser reads at most this many bytes at once.
+constexpr std::size_t max_read_bytes = 64U << 10U;
 constexpr std::string_view head_end = "\r\n\r\n";
 
 std::string_view view_of(const boost::beast::flat_buffer& buffer)
@@ -44,15 +45,15 @@
     return out;
 }
 
-std::string head_text(const upstream_response& answer, bool keep_alive)
+std::string head_text(const upstream_response& response, bool keep_alive)
 {
     const auto reason =
-        http::obsolete_reason(http::int_to_status(answer.m_status));
-    const auto connection = answer.m_fields[http::field::connection];
-    std::string out = "HTTP/1.1 " + std::to_string(answer.m_status) + ' ';
+        http::obsolete_reason(http::int_to_status(response.m_status));
+    const auto connection = response.m_fields[http::field::connection];
+    std::string out = "HTTP/1.1 " + std::to_string(response.m_status) + ' ';
     out.append(reason.data(), reason.size());
     out += "\r\n";
-    for (const auto& row : answer.m_fields)
+    for (const auto& row : response.m_fields)
     {
         const std::string_view name(row.name_string().data(),
                                     row.name_string().size());
@@ -86,8 +87,8 @@
       m_read_timer(io), m_write_timer(io),
       m_buffered(std::make_shared<buffer_account>(memory.budget()))
 {
-    tune_socket(m_stream.socket(), caller_silence);
-    // Writes try at once and wait only where the caller does not read.
+    tune_socket(m_stream.socket(), unresponsive_timeout);
+    // Writes are tried at once and wait only if the caller does not read.
     error_code ignored;
     m_stream.socket().non_blocking(true, ignored);
 }
@@ -100,8 +101,8 @@
     m_streaming = false;
     std::size_t searched = 0;
     std::size_t head_bytes = 0;
-    // Not the stream's own expiry, which closes the socket: a slow caller is
-    // told why.
+    // Not the stream's own expiry, which closes the socket: a slow caller
+    // receives a response with the reason.
     set_read_timeout(m_idle ? limits.m_idle_timeout : limits.m_header_timeout);
     while (true)
     {
@@ -116,21 +117,21 @@
                        ? 0
                        : text.size() - head_end.size() + 1;
         if (text.size() > limits.m_max_header_bytes)
-            co_return refusal(431, "head is too long");
+            co_return refusal(431, "request head exceeds the limit");
         error_code ec;
         const auto count = co_await m_stream.async_read_some(
             m_buffer.prepare(read_bytes), into(ec));
         if (ec && m_read_timed_out && !m_idle)
-            co_return refusal(408, "head took too long");
+            co_return refusal(408, "request head timed out");
         if (ec)
             co_return read_result{};
         m_buffer.commit(count);
         if (std::exchange(m_idle, false))
             set_read_timeout(limits.m_header_timeout);
     }
-    set_read_timeout(body_patience);
+    set_read_timeout(body_timeout);
     if (head_bytes > limits.m_max_header_bytes)
-        co_return refusal(431, "head is too long");
+        co_return refusal(431, "request head exceeds the limit");
     if (const auto* fault =
             find_ambiguity(view_of(m_buffer).substr(0, head_bytes)))
         co_return refusal(400, fault);
@@ -144,42 +145,42 @@
         co_return refusal(ec == http::error::body_limit ? 413 : 400,
                           ec.message());
     const auto no_memory = [&parser] {
-        auto out = refusal(503, "no memory for its body");
+        auto out = refusal(503, "not enough memory for the request body");
         out.m_retry_after = retry_after_no_reply;
         out.m_request.base() = parser.get().base();
         return out;
     };
     const auto length = parser.content_length();
-    // All of a body is held for before any of it comes.
+    // The whole body is accounted for before any of it is read.
     if (!m_memory.may_read_body(length.value_or(0)) ||
         !m_buffered->set(buffer_kind::request, length.value_or(0)))
         co_return no_memory();
     if (parser.get()[http::field::expect] == "100-continue")
     {
-        const bool told =
+        const bool sent =
             co_await write_all("HTTP/1.1 100 Continue\r\n\r\n", {}, 0);
-        if (!told)
+        if (!sent)
             co_return read_result{};
     }
     while (!parser.is_done() && !ec)
     {
-        const auto most = m_buffer.size() +
-                          boost::beast::read_size(m_buffer, most_read_bytes);
+        const auto most =
+            m_buffer.size() + boost::beast::read_size(m_buffer, max_read_bytes);
         if (!length && !m_buffered->set(buffer_kind::request,
                                         parser.get().body().size() + most))
             co_return no_memory();
         co_await http::async_read_some(m_stream, m_buffer, parser, into(ec));
         const auto size = parser.get().body().size();
-        // Least is lost with what has not run.
+        // Aborting a request that has not run loses the least work.
         if (!ec && !parser.is_done() &&
             m_memory.level() == pressure_level::cutting &&
             !m_memory.may_read_body(size))
             co_return no_memory();
     }
     if (ec == http::error::body_limit)
-        co_return refusal(413, "body is too long");
+        co_return refusal(413, "request body exceeds the limit");
     if (ec && m_read_timed_out)
-        co_return refusal(408, "body took too long");
+        co_return refusal(408, "request body timed out");
     if (ec &&
         ec.category() ==
             http::make_error_code(http::error::bad_method).category() &&
@@ -191,15 +192,15 @@
     read_result out;
     out.m_outcome = read_outcome::request;
     out.m_request = parser.release();
-    // Less than was asked for above is never refused.
+    // Never refused: it is no more than was accounted above.
     (void)m_buffered->set(buffer_kind::request, out.m_request.body().size());
     co_return out;
 }
 
-void caller_connection::set_read_timeout(milliseconds span)
+void caller_connection::set_read_timeout(milliseconds timeout)
 {
     m_read_timed_out = false;
-    m_read_timer.expires_after(span);
+    m_read_timer.expires_after(timeout);
     m_read_timer.async_wait([weak = weak_from_this()](error_code ec) {
         const auto self = weak.lock();
         if (ec || !self)
@@ -215,7 +216,7 @@
     error_code ec;
     m_stream.socket().shutdown(tcp::socket::shutdown_send, ec);
     m_buffer.clear();
-    set_read_timeout(discard_patience);
+    set_read_timeout(discard_timeout);
     std::array<char, read_bytes> chunk;
     while (!ec)
         co_await m_stream.async_read_some(asio::buffer(chunk), into(ec));
@@ -229,19 +230,19 @@
     auto& socket = m_stream.socket();
     error_code ec;
     bool waits = false;
-    // What the caller may leave unread: its copies here and in the kernel.
-    const auto room =
+    // What the caller may leave unread: the copies here and in the kernel.
+    const auto reserved =
         charged +
         std::min<std::size_t>(send_buffer_bytes, head.size() + body.size());
     m_memory_available =
-        m_memory.budget()->fits(buffer_kind::undelivered, room);
+        m_memory.budget()->fits(buffer_kind::undelivered, reserved);
     if (!m_memory_available)
         m_memory_available = co_await m_memory.wait_for_delivery_capacity(
-            room, write_deadline());
+            reserved, write_deadline());
     if (!m_memory_available)
     {
         LOG(INFO) << "event=answer_undelivered held=" << m_buffered->total()
-                  << " asked=" << room << " cause=no_room held_by_all="
+                  << " asked=" << reserved << " cause=no_room held_by_all="
                   << m_memory.budget()->total();
         abort_connection();
     }
@@ -254,7 +255,7 @@
         if (ec == asio::error::would_block)
         {
             if (!std::exchange(waits, true))
-                begin_write_wait(charged, room);
+                begin_write_wait(charged, reserved);
             co_await socket.async_wait(tcp::socket::wait_write, into(ec));
             continue;
         }
@@ -271,15 +272,16 @@
 
 instant caller_connection::write_deadline() const
 {
-    return m_write_deadline.value_or(m_time.now() + write_patience);
+    return m_write_deadline.value_or(m_time.now() + default_write_timeout);
 }
 
-void caller_connection::begin_write_wait(std::size_t charged, std::size_t room)
+void caller_connection::begin_write_wait(std::size_t charged,
+                                         std::size_t reserved)
 {
-    // The kernel is full, if need be with answers of before; those were not
-    // asked room for, and count as far as there is any.
+    // The kernel's buffer is full, possibly with earlier responses; no memory
+    // was reserved for those, so they are accounted only as far as it fits.
     if (!m_buffered->set(buffer_kind::undelivered, charged + send_buffer_bytes))
-        (void)m_buffered->set(buffer_kind::undelivered, room);
+        (void)m_buffered->set(buffer_kind::undelivered, reserved);
     if (m_streaming)
         m_buffered->use_reservation(buffer_kind::receive_buffer);
     m_buffered->begin_reader_wait(m_time.now(), [weak = weak_from_this()] {
@@ -312,24 +314,24 @@
 void caller_connection::abort_connection()
 {
     m_write_aborted = true;
-    // Closed in the usual way, the kernel would keep what is unread.
+    // After a usual close the kernel would keep the unread bytes.
     error_code ignored;
     m_stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
     m_stream.close();
 }
 
-task<bool> caller_connection::write_response(const upstream_response& answer,
+task<bool> caller_connection::write_response(const upstream_response& response,
                                              bool keep_alive)
 {
-    std::string text = head_text(answer, keep_alive);
+    std::string text = head_text(response, keep_alive);
     constexpr unsigned no_content = 204;
     constexpr unsigned not_modified = 304;
-    if (answer.m_status != no_content && answer.m_status != not_modified)
-        text +=
-            "Content-Length: " + std::to_string(answer.m_body.size()) + "\r\n";
+    if (response.m_status != no_content && response.m_status != not_modified)
+        text += "Content-Length: " + std::to_string(response.m_body.size()) +
+                "\r\n";
     text += "\r\n";
-    // The body counts already, as an answer that was gathered.
-    co_return co_await write_all(text, answer.m_body, text.size());
+    // The body is accounted already, as a buffered response.
+    co_return co_await write_all(text, response.m_body, text.size());
 }
 
 task<bool> caller_connection::begin_stream(const upstream_response& head,
@@ -343,8 +345,8 @@
 
 task<bool> caller_connection::write_chunk(std::string_view bytes)
 {
-    constexpr std::size_t most_digits = 16;
-    std::array<char, most_digits + 3> size{};
+    constexpr std::size_t max_digits = 16;
+    std::array<char, max_digits + 3> size{};
     const int count =
         std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
     std::string text(size.data(), static_cast<std::size_t>(count));
@@ -370,7 +372,7 @@
             char byte = 0;
             const auto count = recv(self->m_stream.socket().native_handle(),
                                     &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-            // Bytes are the next request already: it waits its turn.
+            // Bytes belong to the next request, which is read later.
             const bool gone = count == 0 || (count < 0 && errno != EAGAIN &&
                                              errno != EWOULDBLOCK);
             if (gone)
--- a/src/forward/exchange.cpp
+++ b/src/forward/exchange.cpp
@@ -12,26 +12,29 @@
 
 using answer_parser = http::response_parser<http::buffer_body>;
 
-/// A connect is over in a round trip; a runner behind a cut never answers.
-constexpr milliseconds connect_patience{250};
-/// Bodies up to this fit into the send window, so that writing them cannot
-/// wait for the runner's reader.
+/// A connect takes one round trip; a runner beyond a network partition never
+/// replies.
+constexpr milliseconds connect_timeout{250};
+/// Bodies up to this size in bytes fit into the send buffer, so that writing
+/// them cannot block on the runner's reads.
 constexpr std::size_t inline_write_bytes = 8192;
 constexpr std::size_t read_bytes = 8192;
-constexpr std::size_t max_answer_bytes = 16U << 20U;
-/// A long body that a runner has not taken after this share of the time left
-/// leaves too little for its answer; sooner than the least it is only busy.
-constexpr int take_share = 2;
-constexpr milliseconds least_take_patience{1000};
-constexpr std::uint32_t max_answer_head_bytes = 32U << 10U;
-/// Kept without a stated time; most servers keep five seconds or more.
-constexpr milliseconds default_keep{4000};
-/// The runner's close may already be on its way this long before its time.
-constexpr milliseconds keep_margin{500};
+constexpr std::size_t max_response_bytes = 16U << 20U;
+/// A long body times out if the runner has not read it within 1/send_share of
+/// the remaining time, since too little would be left for its response; below
+/// the minimum, the runner may merely be busy.
+constexpr int send_share = 2;
+constexpr milliseconds min_send_timeout{1000};
+constexpr std::uint32_t max_response_head_bytes = 32U << 10U;
+/// How long a connection is kept if the runner states no time-out; most
+/// servers keep idle connections for five seconds or more.
+constexpr milliseconds default_keep_alive{4000};
+/// The runner's close may already be in flight this long before its time-out.
+constexpr milliseconds keep_alive_margin{500};
 
-/// An attempt given up without a first byte after this long says something
-/// of the runner, not only of the caller.
-constexpr milliseconds telling_silence{900};
+/// An attempt that is aborted without a first byte after at least this long is
+/// counted against the runner; sooner, it says something of the caller only.
+constexpr milliseconds min_unresponsive_time{900};
 constexpr unsigned first_server_error = 500;
 
 /// State of one attempt on one connection.
@@ -39,14 +42,14 @@
 {
     std::shared_ptr<upstream_connection> m_connection;
     std::string m_head;
-    std::string_view m_late_body;
-    /// Keeps the body.
+    std::string_view m_async_body;
+    /// Keeps the body alive.
     std::shared_ptr<const void> m_owner;
     std::shared_ptr<buffer_account> m_held;
     bool m_written = false;
-    bool m_answered = false;
-    /// Given up because the runner did not take the request.
-    bool m_untaken = false;
+    bool m_response_started = false;
+    /// Aborted because the runner did not read the request in time.
+    bool m_send_timed_out = false;
 };
 
 std::string_view field(const http::fields& fields, const std::string& name)
@@ -55,20 +58,20 @@
     return {value.data(), value.size()};
 }
 
-milliseconds keep_time(const http::fields& fields)
+milliseconds keep_alive_time(const http::fields& fields)
 {
     const auto value = fields["Keep-Alive"];
     const std::string_view text(value.data(), value.size());
     constexpr std::string_view key = "timeout=";
     const auto at = text.find(key);
     if (at == std::string_view::npos)
-        return default_keep;
+        return default_keep_alive;
     const auto digits = text.substr(at + key.size());
     const auto seconds_kept =
         parse_number(digits.substr(0, digits.find_first_not_of("0123456789")));
     if (!seconds_kept)
-        return default_keep;
-    return milliseconds(*seconds_kept * 1000) - keep_margin;
+        return default_keep_alive;
+    return milliseconds(*seconds_kept * 1000) - keep_alive_margin;
 }
 
 std::optional<milliseconds> retry_after(const http::fields& fields)
@@ -82,23 +85,23 @@
     return milliseconds(static_cast<std::int64_t>(seconds_left * 1000));
 }
 
-/// Writes head and body while the answer may already be coming.
-/// \param patience for a runner that neither takes the body nor answers
-task<> write_late(asio::io_context& io, std::shared_ptr<attempt_state> state,
-                  milliseconds patience)
+/// Writes head and body while the response may already be arriving.
+/// \param timeout for a runner that neither reads the body nor responds
+task<> write_async(asio::io_context& io, std::shared_ptr<attempt_state> state,
+                   milliseconds timeout)
 {
     asio::steady_timer timer(io);
-    timer.expires_after(patience);
+    timer.expires_after(timeout);
     timer.async_wait([state](error_code ec) {
-        if (ec || state->m_answered || state->m_written)
+        if (ec || state->m_response_started || state->m_written)
             return;
-        state->m_untaken = true;
+        state->m_send_timed_out = true;
         state->m_connection->m_stream.close();
     });
     error_code ec;
     const std::array<asio::const_buffer, 2> parts{
         asio::buffer(state->m_head),
-        asio::buffer(state->m_late_body.data(), state->m_late_body.size())};
+        asio::buffer(state->m_async_body.data(), state->m_async_body.size())};
     co_await asio::async_write(state->m_connection->m_stream.socket(), parts,
                                into(ec));
     timer.cancel();
@@ -110,10 +113,11 @@
     state->m_written = !ec;
 }
 
-/// Reserves room for a first piece of an answer, and for what the kernel has
-/// of it while it is not read on; holds what the kernel keeps of a long body.
-/// \returns false if there is no room
-bool reserve_room(buffer_account& held, std::size_t body_bytes)
+/// Reserves memory for the first piece of a response and for what the kernel
+/// buffers of it while it is not read; accounts for what the kernel buffers of
+/// a long body.
+/// \returns false if there is not enough memory
+bool reserve_memory(buffer_account& held, std::size_t body_bytes)
 {
     const bool late = body_bytes > inline_write_bytes;
     if (!held.reserve(buffer_kind::receive_buffer,
@@ -125,7 +129,7 @@
            held.add(buffer_kind::unsent_body, upstream_pool::send_buffer_bytes);
 }
 
-/// Gives back what an attempt reserved and did not use.
+/// Releases what an attempt reserved and did not use.
 void end_reserve(buffer_account& held)
 {
     held.end_reservation(buffer_kind::receive_buffer);
@@ -133,23 +137,23 @@
     held.clear_blocked();
 }
 
-/// Sends the request; large bodies go on being sent after the return.
+/// Sends the request; large bodies are still being sent after the return.
 task<bool> send_request(asio::io_context& io,
                         std::shared_ptr<attempt_state> state,
                         std::string_view body, milliseconds left)
 {
     if (body.size() > inline_write_bytes)
     {
-        state->m_late_body = body;
+        state->m_async_body = body;
         if (!state->m_owner)
         {
             auto own = std::make_shared<std::string>(body);
-            state->m_late_body = *own;
+            state->m_async_body = *own;
             state->m_owner = std::move(own);
         }
         spawn(io, "exchange.write",
-              write_late(io, state,
-                         std::max(least_take_patience, left / take_share)));
+              write_async(io, state,
+                          std::max(min_send_timeout, left / send_share)));
         co_return true;
     }
     error_code ec;
@@ -160,7 +164,8 @@
     co_return !ec;
 }
 
-/// Null if the head is this request's own, else what is wrong.
+/// Validates the head of a response; null if it belongs to this request, else
+/// a description of the fault.
 const char* find_fault(const http::response_header<>& head,
                        const wire_names& names, const std::string& id)
 {
@@ -173,34 +178,35 @@
     return nullptr;
 }
 
-/// Statuses that promise that nothing has run.
-bool is_promise(unsigned status)
+/// Whether the status states that the request has not run.
+bool claims_not_run(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 struct body_read
 {
-    bool m_whole = false;
-    bool m_caller_gone = false;
-    /// This VM could not hold the answer; that says nothing of the runner.
-    bool m_no_room = false;
+    bool m_complete = false;
+    bool m_caller_disconnected = false;
+    /// This VM could not buffer the response; not the runner's fault.
+    bool m_out_of_memory = false;
     std::string m_reason;
 };
 
-/// Takes a body as it comes.
+/// Receives a body as it arrives.
 struct body_sink
 {
-    std::function<task<bool>(std::string_view)> m_take;
-    /// Asked for room beyond the first piece; empty: nothing is kept.
-    std::function<task<bool>()> m_room;
+    std::function<task<bool>(std::string_view)> m_write;
+    /// Reserves memory for each piece after the first; empty: nothing is
+    /// buffered.
+    std::function<task<bool>()> m_reserve;
 };
 
-/// Passes the body on as it comes.
-/// \param gap_patience longest wait for each piece; empty: no limit
+/// Reads the body and passes it to \p sink as it arrives.
+/// \param gap_timeout maximum wait for each piece; empty: no limit
 task<body_read> read_body(std::shared_ptr<attempt_state> state,
                           answer_parser& parser,
-                          std::optional<milliseconds> gap_patience,
+                          std::optional<milliseconds> gap_timeout,
                           body_sink sink)
 {
     body_read out;
@@ -211,19 +217,20 @@
     {
         if (room == 0)
         {
-            out.m_no_room = !co_await sink.m_room();
+            out.m_out_of_memory = !co_await sink.m_reserve();
             room = chunk.size();
         }
-        if (out.m_no_room)
+        if (out.m_out_of_memory)
         {
-            out.m_reason = "longer than this VM can hold";
+            out.m_reason =
+                "not enough memory on this VM to buffer the response";
             co_return out;
         }
         parser.get().body().data = chunk.data();
         parser.get().body().size = room;
         error_code ec;
-        if (gap_patience)
-            connection.m_stream.expires_after(*gap_patience);
+        if (gap_timeout)
+            connection.m_stream.expires_after(*gap_timeout);
         co_await http::async_read_some(connection.m_stream, connection.m_buffer,
                                        parser, into(ec));
         if (ec == http::error::need_buffer)
@@ -234,16 +241,16 @@
             co_return out;
         }
         const auto count = room - parser.get().body().size;
-        if (sink.m_room)
+        if (sink.m_reserve)
             room -= count;
         if (count > 0 &&
-            !co_await sink.m_take(std::string_view(chunk.data(), count)))
+            !co_await sink.m_write(std::string_view(chunk.data(), count)))
         {
-            out.m_caller_gone = true;
+            out.m_caller_disconnected = true;
             co_return out;
         }
     }
-    out.m_whole = true;
+    out.m_complete = true;
     co_return out;
 }
 
@@ -309,14 +316,13 @@
         const auto left = std::chrono::duration_cast<milliseconds>(
             request.m_deadline - time.now());
         state->m_connection = co_await pool.connect(
-            runner.m_address, std::min(connect_patience, left),
-            result.m_reason);
+            runner.m_address, std::min(connect_timeout, left), result.m_reason);
     }
     if (!state->m_connection)
     {
-        // Nothing was sent, so nothing can have run.
+        // Nothing was sent, so the request cannot have run.
         result.m_outcome = attempt_outcome::not_run;
-        result.m_reason = "connect: " + result.m_reason;
+        result.m_reason = "connect failed: " + result.m_reason;
         runners.record_failure(runner.m_id, time.now());
         co_return result;
     }
@@ -326,18 +332,20 @@
     {
         result.m_outcome = attempt_outcome::not_run;
         result.m_reason =
-            may_send ? to_string(aborter->cause()) : "may not be sent now";
-        pool.put_back(runner.m_id, state->m_connection, keep_margin);
+            may_send
+                ? to_string(aborter->cause())
+                : "configuration became too old before the request was sent";
+        pool.put_back(runner.m_id, state->m_connection, keep_alive_margin);
         co_return result;
     }
     if (request.m_buffered &&
-        !reserve_room(*request.m_buffered, request.m_body.size()))
+        !reserve_memory(*request.m_buffered, request.m_body.size()))
     {
         end_reserve(*request.m_buffered);
         result.m_outcome = attempt_outcome::not_run;
         result.m_out_of_memory = true;
-        result.m_reason = "no memory for its answer";
-        pool.put_back(runner.m_id, state->m_connection, keep_margin);
+        result.m_reason = "not enough memory on this VM to buffer the response";
+        pool.put_back(runner.m_id, state->m_connection, keep_alive_margin);
         co_return result;
     }
     aborter->on_abort([kept = state->m_connection] { kept->m_stream.close(); });
@@ -361,14 +369,14 @@
     else if (request.m_attempt_deadline)
         connection.m_stream.expires_at(*request.m_attempt_deadline);
     answer_parser parser;
-    parser.header_limit(max_answer_head_bytes);
-    // Bounded where it is gathered; a stream has no bound.
+    parser.header_limit(max_response_head_bytes);
+    // Limited below where it is buffered; a stream has no limit.
     parser.body_limit(std::uint64_t{1} << 62U);
     error_code ec;
     co_await http::async_read_header(connection.m_stream, connection.m_buffer,
                                      parser, into(ec));
     const char* fault = nullptr;
-    state->m_answered = !ec;
+    state->m_response_started = !ec;
     result.m_first_byte_timed_out = ec == boost::beast::error::timeout;
     if (request.m_first_byte_timeout && request.m_attempt_deadline)
         connection.m_stream.expires_at(*request.m_attempt_deadline);
@@ -388,16 +396,16 @@
         result.m_response.m_fields = head.base();
         const bool stream =
             request.m_streaming && result.m_response.m_status == 200;
-        body_sink gathered;
-        gathered.m_take = [&](std::string_view bytes) -> task<bool> {
+        body_sink body_out;
+        body_out.m_write = [&](std::string_view bytes) -> task<bool> {
             result.m_response.m_body += bytes;
-            // Within what was reserved for it.
+            // Within what was reserved for the response.
             if (request.m_buffered)
                 (void)request.m_buffered->add(buffer_kind::response,
                                               bytes.size());
-            co_return result.m_response.m_body.size() <= max_answer_bytes;
+            co_return result.m_response.m_body.size() <= max_response_bytes;
         };
-        gathered.m_room = [&]() -> task<bool> {
+        body_out.m_reserve = [&]() -> task<bool> {
             if (!request.m_wait_for_memory)
                 co_return true;
             co_return co_await request.m_wait_for_memory(read_bytes);
@@ -405,17 +413,18 @@
         if (stream)
         {
             result.m_streamed = true;
-            gathered = {sink.m_data, {}};
+            body_out = {sink.m_data, {}};
             if (!co_await sink.m_begin(result.m_response))
-                body.m_caller_gone = true;
+                body.m_caller_disconnected = true;
         }
-        if (!body.m_caller_gone)
+        if (!body.m_caller_disconnected)
             body = co_await read_body(state, parser, request.m_gap_timeout,
-                                      gathered);
-        if (!stream && std::exchange(body.m_caller_gone, false))
+                                      body_out);
+        if (!stream && std::exchange(body.m_caller_disconnected, false))
         {
-            body.m_no_room = true;
-            body.m_reason = "longer than any answer may be";
+            body.m_out_of_memory = true;
+            body.m_reason =
+                "response is longer than the limit for buffered responses";
         }
     }
     if (request.m_buffered)
@@ -423,22 +432,22 @@
     aborter->on_abort(nullptr);
     runners.record_request_end(runner.m_id);
     const bool surplus = connection.m_buffer.size() > 0;
-    const bool reusable = body.m_whole && state->m_written && !surplus &&
+    const bool reusable = body.m_complete && state->m_written && !surplus &&
                           parser.get().keep_alive() && !parser.get().need_eof();
-    if (reusable && keep_time(parser.get().base()) > milliseconds(0))
+    if (reusable && keep_alive_time(parser.get().base()) > milliseconds(0))
         pool.put_back(runner.m_id, state->m_connection,
-                      keep_time(parser.get().base()));
+                      keep_alive_time(parser.get().base()));
     else
         connection.m_stream.close();
 
-    if (aborter->cause() != abort_cause::none || body.m_caller_gone)
+    if (aborter->cause() != abort_cause::none || body.m_caller_disconnected)
     {
         if (aborter->cause() == abort_cause::none)
             aborter->abort(abort_cause::caller_left);
-        if (!head_good && time.now() - sent_at >= telling_silence)
+        if (!head_good && time.now() - sent_at >= min_unresponsive_time)
         {
             runners.record_result(runner.m_id, false, time.now());
-            // Engines are silent while they read long prompts.
+            // Engines send nothing while they process long prompts.
             if (aborter->cause() == abort_cause::timeout &&
                 !request.m_streaming)
                 runners.record_failure(runner.m_id, time.now());
@@ -454,27 +463,31 @@
     if (refused)
     {
         result.m_outcome = attempt_outcome::not_run;
-        result.m_reason = "refused " + std::to_string(status);
+        result.m_reason =
+            "the runner refused the request: status " + std::to_string(status);
         result.m_retry_after = retry_after(parser.get().base());
         runners.record_full(runner.m_id, time.now());
         co_return result;
     }
-    const bool good =
-        body.m_no_room || (body.m_whole && status < first_server_error);
+    const bool good = body.m_out_of_memory ||
+                      (body.m_complete && status < first_server_error);
     runners.record_result(runner.m_id, good, time.now());
-    if (body.m_whole)
+    if (body.m_complete)
     {
-        // A promise that the runner did not sign as one is not passed on.
-        result.m_outcome = is_promise(status) ? attempt_outcome::unknown
-                                              : attempt_outcome::answered;
+        // A claim of not having run that the runner did not mark with the
+        // header is not passed on.
+        result.m_outcome = claims_not_run(status) ? attempt_outcome::unknown
+                                                  : attempt_outcome::answered;
         result.m_reason = "status " + std::to_string(status);
         co_return result;
     }
-    result.m_reason = fault != nullptr   ? fault
-                      : state->m_untaken ? "request not taken"
-                      : ec               ? "head: " + ec.message()
-                                         : "body: " + body.m_reason;
-    if (!body.m_no_room)
+    result.m_reason =
+        fault != nullptr ? fault
+        : state->m_send_timed_out
+            ? "the runner did not read the request body in time"
+        : ec ? "reading the response head failed: " + ec.message()
+             : "reading the response body failed: " + body.m_reason;
+    if (!body.m_out_of_memory)
         runners.record_failure(runner.m_id, time.now());
     co_return result;
 }
--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 /// How long a turn waits for the storage VMs before it is refused: they
-/// answer within milliseconds, a restarted one within a second.
-constexpr milliseconds begin_patience{1500};
-/// Between two looks of a request that is held at the start: for what is not
-/// announced to it, such as the first storage VM that is heard.
-constexpr milliseconds start_check{30};
-constexpr milliseconds drain_retry{100};
-/// An answer that is ready at the last moment takes this long at most to be
-/// taken by a caller that reads.
-constexpr milliseconds write_slack{250};
-
-std::string seconds_text(milliseconds span)
+/// reply within milliseconds, a restarted one within a second.
+constexpr milliseconds begin_timeout{1500};
+/// Polling interval of a request that waits at this VM's start, for conditions
+/// that notify no event, such as the first connection to a storage VM.
+constexpr milliseconds startup_poll{30};
+constexpr milliseconds accept_retry{100};
+/// A response that is ready just before the deadline takes at most this long
+/// to be read by a caller that does read.
+constexpr milliseconds write_margin{250};
+
+std::string seconds_text(milliseconds duration)
 {
     constexpr double ms_per_s = 1000;
     std::string text =
-        std::to_string(static_cast<double>(span.count()) / ms_per_s);
+        std::to_string(static_cast<double>(duration.count()) / ms_per_s);
     return text.substr(0, text.find('.') + 4);
 }
 
@@ -66,8 +66,8 @@
               << " routes=" << config.m_routes.size()
               << " services=" << config.m_services.size();
     m_config = std::make_shared<const routing_config>(std::move(config));
-    for (const auto& news : m_startup_waiters)
-        news->notify();
+    for (const auto& changed : m_startup_waiters)
+        changed->notify();
     return true;
 }
 
@@ -136,7 +136,7 @@
         {
             LOG(WARNING) << "event=accept_failed reason=\"" << ec.message()
                          << '"';
-            co_await sleep_for(m_io, drain_retry);
+            co_await sleep_for(m_io, accept_retry);
             continue;
         }
         auto caller = std::make_shared<caller_connection>(
@@ -178,21 +178,21 @@
     LOG(INFO) << "event=request_refused status=" << read.m_status
               << " reason=\"" << read.m_reason
               << "\" held=" << m_memory.budget()->total();
-    auto answer = text_response(read.m_status, read.m_reason);
+    auto response = text_response(read.m_status, read.m_reason);
     if (!read.m_retry_after)
     {
         m_metrics.count("requests_malformed");
-        (void)co_await caller->write_response(answer, false);
+        (void)co_await caller->write_response(response, false);
         co_return;
     }
     m_memory.count_refused_request();
-    answer.m_fields.set(http::field::retry_after,
-                        seconds_text(*read.m_retry_after));
+    response.m_fields.set(http::field::retry_after,
+                          seconds_text(*read.m_retry_after));
     const auto id = decode_fields(read.m_request, m_names).m_id;
     if (!id.empty())
-        answer.m_fields.set(m_names.m_request_id, id);
-    const bool told = co_await caller->write_response(answer, false);
-    if (told)
+        response.m_fields.set(m_names.m_request_id, id);
+    const bool sent = co_await caller->write_response(response, false);
+    if (sent)
         co_await caller->discard_rest_of_request();
 }
 
@@ -261,20 +261,20 @@
               << " why=\"" << work.m_reason << '"';
 }
 
-upstream_response proxy::refuse(call& work, const std::string& why,
-                                milliseconds come_back)
+upstream_response proxy::refuse(call& work, const std::string& reason,
+                                milliseconds retry_after)
 {
-    work.m_reason += why;
-    auto answer = text_response(503, "not run: " + why + "\n");
-    answer.m_fields.set(http::field::retry_after, seconds_text(come_back));
-    return answer;
+    work.m_reason += reason;
+    auto response = text_response(503, "not run: " + reason + "\n");
+    response.m_fields.set(http::field::retry_after, seconds_text(retry_after));
+    return response;
 }
 
 upstream_response proxy::fail(call& work, unsigned status,
-                              const std::string& why)
+                              const std::string& reason)
 {
-    work.m_reason += why;
-    return text_response(status, why + "\n");
+    work.m_reason += reason;
+    return text_response(status, reason + "\n");
 }
 
 task<> proxy::watch_deadline(std::shared_ptr<call> work)
@@ -302,12 +302,13 @@
     if (ready() || m_time.now() >= until)
         co_return;
     m_metrics.count("held_at_start");
-    // An event has one waiter.
-    const auto news = std::make_shared<async_event>(m_io);
-    m_startup_waiters.insert(news);
+    // An event supports one waiter only.
+    const auto changed = std::make_shared<async_event>(m_io);
+    m_startup_waiters.insert(changed);
     while (!ready() && m_time.now() < until)
-        co_await news->wait_until(std::min(until, m_time.now() + start_check));
-    m_startup_waiters.erase(news);
+        co_await changed->wait_until(
+            std::min(until, m_time.now() + startup_poll));
+    m_startup_waiters.erase(changed);
 }
 
 task<proxy::call_result>
@@ -324,7 +325,8 @@
     if (!work->m_config)
     {
         out.m_response =
-            refuse(*work, "no configuration yet", retry_after_unconfigured);
+            refuse(*work, "this VM has received no configuration yet",
+                   retry_after_unconfigured);
         co_return out;
     }
     const auto target = work->m_request.target();
@@ -350,18 +352,18 @@
         work->m_arrived +
         std::min(route.m_timeout,
                  work->m_fields.m_deadline.value_or(route.m_timeout));
-    caller->set_write_deadline(work->m_deadline + write_slack);
+    caller->set_write_deadline(work->m_deadline + write_margin);
     if (work->m_workspace != nullptr)
         work->m_buffered->set_workspace(work->m_workspace->m_name);
     spawn(m_io, "proxy.deadline", watch_deadline(work));
-    // What may not be repeated runs on to its end: its effect cannot be
-    // taken back, and its answer may be asked for.
+    // An unrepeatable request runs to its end even if the caller leaves: its
+    // effect cannot be undone, and its response may be requested later.
     if (route.m_kind != route_kind::unrepeatable)
         caller->watch_for_close(work->m_aborter);
     work->m_continues_program = !work->m_fields.m_parent_turn.empty();
     const auto quota = request_quota(work);
     request_placement(work);
-    // Callers that bring their whole history have a budget too.
+    // Callers that send their whole history have a budget too.
     if (route.m_stateful || work->m_fields.m_token_budget)
         out.m_response = co_await begin_turn(work);
     if (out.m_response)
@@ -383,8 +385,8 @@
 {
     const auto& fields = work->m_fields;
     auto& begin = work->m_begin;
-    // A turn that names no program has its budget to itself; one ledger of
-    // all such turns would grow without end.
+    // A turn that names no program has a budget of its own; one shared ledger
+    // for all such turns would grow without bound.
     const auto* owner = work->m_workspace;
     begin.m_program = key_of(scoped_id(
         owner, fields.m_program.empty() ? fields.m_id : fields.m_program));
@@ -398,26 +400,29 @@
     if (begin.m_tokens > begin.m_budget)
     {
         work->m_reason = "budget=" + std::to_string(begin.m_budget) + ' ';
-        co_return fail(*work, 402, "budget is below one turn");
+        co_return fail(*work, 402,
+                       "token budget is smaller than the tokens of this turn");
     }
     if (!m_turns.connected())
         co_await wait_for_startup(work, [this] { return m_turns.connected(); });
     if (!m_turns.connected())
     {
-        // Cut off from all of them: the next VM that is tried may not be.
+        // Isolated from all storage VMs: another edge VM may not be, so the
+        // caller has to reconnect.
         work->m_keep_alive = false;
-        co_return refuse(*work, "no storage VM is heard", retry_after_isolated);
+        co_return refuse(*work, "this VM is connected to no storage VM",
+                         retry_after_isolated);
     }
     const auto homes = allowed_regions(*work->m_route, owner);
     if (homes && work->m_route->m_stateful &&
         !m_turns.keeps_within(begin.m_program, *homes))
-        co_return refuse(*work, "its turns cannot be kept in its regions",
-                         retry_after_no_reply);
+        co_return refuse(
+            *work, "turn history cannot be stored within the allowed regions",
+            retry_after_no_reply);
     work->m_budget_reserved = true;
     auto result = co_await m_turns.begin(
-        begin,
-        std::min(work->m_deadline, std::max(m_time.now() + begin_patience,
-                                            startup_deadline(*work))));
+        begin, std::min(work->m_deadline, std::max(m_time.now() + begin_timeout,
+                                                   startup_deadline(*work))));
     m_metrics.record_turn_begin(elapsed(work->m_arrived, m_time.now()));
     work->m_reason = result.m_reason + ' ';
     work->m_continues_program =
@@ -445,7 +450,7 @@
         {
             m_memory.count_refused_request();
             settle(*work, 0);
-            co_return refuse(*work, "no memory for its chain",
+            co_return refuse(*work, "not enough memory for the turn history",
                              retry_after_no_reply);
         }
         co_return std::nullopt;
@@ -454,15 +459,16 @@
     if (result.m_outcome == begin_outcome::over_budget)
         co_return fail(*work, 402, "budget is spent");
     if (result.m_outcome == begin_outcome::no_such_turn)
-        co_return fail(*work, 404, "no such turn");
-    co_return refuse(*work, "storage", retry_after_no_reply);
+        co_return fail(*work, 404, "parent turn does not exist");
+    co_return refuse(*work, "the storage VMs did not begin the turn",
+                     retry_after_no_reply);
 }
 
 prompt_location proxy::locate_prompt(const call& work) const
 {
     const auto& parts = work.m_fields.m_prompt_parts;
     const auto* row = m_runners.find_incarnation(work.m_runner);
-    // Plain services read no prompts.
+    // Plain services process no prompts.
     if (row == nullptr || parts.empty())
         return {};
     return {parts.back().m_id, work.m_fields.m_prompt_tokens,
--- a/src/forward/proxy_attempts.cpp
+++ b/src/forward/proxy_attempts.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Attempts of one request: which runner, what its end means, whether another
-// one follows.
+// Attempts of one request: selects the runner, evaluates the attempt's end and
+// decides whether another one follows.
 #include "pepperturn/forward/proxy.hpp"
 
 #include "pepperturn/base/hash.hpp"
@@ -14,25 +14,26 @@
 
 namespace {
 
-/// Runners that may refuse one request before it is refused itself; each
+/// Runners that may refuse one request before the proxy refuses it; each
 /// costs a round trip.
-constexpr unsigned most_refusals = 4;
-/// Cold runners that may have no room for one call before it keeps to warm
-/// ones: each question costs a round trip or two.
-constexpr unsigned most_cold_denials = 2;
-/// The most urgent routes go in front of the engines' default of 5.
+constexpr unsigned max_refusals = 4;
+/// Cold runners that may be denied to one call before it is limited to warm
+/// ones: each request for permission costs a round trip or two.
+constexpr unsigned max_cold_denials = 2;
+/// The most urgent routes are scheduled ahead of the engines' default of 5.
 constexpr std::uint32_t first_urgency = 3;
 constexpr std::uint32_t lowest_priority = 6;
-/// An idempotent request moves on to another runner after this many times
-/// its objective: slow ones are done by then, hung ones never are.
-constexpr int patience_factor = 2;
+/// An idempotent request is sent to another runner after this many times its
+/// route's target latency: slow runners have responded by then, hung ones never
+/// do.
+constexpr int latency_factor = 2;
 constexpr unsigned first_server_error = 500;
-/// A stream that may be resumed moves on after this many times what its
-/// route's first events usually take: under a burst all engines are slow,
-/// and moving would have the prompt read once more.
+/// A resumable stream is moved to another runner after this many times the
+/// usual time to the first event of its route: under a burst all engines are
+/// slow, and a move would have the prompt processed once more.
 constexpr int first_event_factor = 4;
-/// Pauses of this many times the route's target mean that the runner hangs;
-/// engines that put a run back for want of memory pause for less.
+/// A gap of this many times the route's target means that the runner hangs;
+/// engines that preempt a run for lack of memory pause for less.
 constexpr int gap_factor = 4;
 
 } // namespace
@@ -42,7 +43,7 @@
     const auto& parts = work.m_route->m_services;
     if (parts.size() == 1)
         return parts.front().m_service;
-    // A turn stays with the service that has its prefix.
+    // A turn stays with the service that has its prefix cached.
     if (const auto* kept = m_runners.find_incarnation(work.m_preferred_runner))
     {
         for (const auto& part : parts)
@@ -55,12 +56,12 @@
     for (const auto& part : parts)
         sum += part.m_weight;
     constexpr double hash_range = 18446744073709551616.0;
-    double draw =
+    double random_value =
         static_cast<double>(hash64(work.m_fields.m_id)) / hash_range * sum;
     for (const auto& part : parts)
     {
-        draw -= part.m_weight;
-        if (draw < 0)
+        random_value -= part.m_weight;
+        if (random_value < 0)
             return part.m_service;
     }
     return parts.empty() ? std::string{} : parts.back().m_service;
@@ -68,7 +69,7 @@
 
 proxy::call_result proxy::finish_without_response(call& work,
                                                   attempt_progress& state,
-                                                  bool given_up)
+                                                  bool timed_out)
 {
     call_result out;
     settle(work, 0);
@@ -76,19 +77,24 @@
     if (cause == abort_cause::caller_left || cause == abort_cause::not_read)
     {
         if (cause == abort_cause::caller_left)
-            work.m_reason += "caller left";
+            work.m_reason +=
+                "caller disconnected before a response was complete";
         out.m_aborted = true;
     }
     else if (state.m_fallback_response)
         out.m_response = std::move(state.m_fallback_response);
     else if (state.m_possible_runs > 0)
-        out.m_response = fail(work, given_up ? 504 : 502, "no whole answer");
+        out.m_response = fail(
+            work, timed_out ? 504 : 502,
+            "no runner returned a complete response; the request may have run");
     else if (!config_is_fresh(work))
         out.m_response = refuse_stale_config(work);
     else
-        out.m_response =
-            refuse(work, given_up ? "timeout" : "no runner took it",
-                   state.m_retry_after.value_or(retry_after_no_slot));
+        out.m_response = refuse(
+            work,
+            timed_out ? "timed out before any runner accepted the request"
+                      : "no available runner accepted the request",
+            state.m_retry_after.value_or(retry_after_no_slot));
     return out;
 }
 
@@ -100,7 +106,8 @@
     settle(work, 0);
     call_result out;
     out.m_response =
-        refuse(work, "no memory for its answer", retry_after_no_reply);
+        refuse(work, "not enough memory on this VM to buffer the response",
+               retry_after_no_reply);
     return out;
 }
 
@@ -115,7 +122,7 @@
         if (state.m_may_retry &&
             result.m_response.m_status >= first_server_error)
         {
-            // Another runner may do better; this answer stays in reserve.
+            // Another runner may succeed; this response is the fallback.
             ++state.m_possible_runs;
             state.m_fallback_response = std::move(result.m_response);
             return std::nullopt;
@@ -139,7 +146,7 @@
                              : fail(work, 502, result.m_reason);
         return out;
     case attempt_outcome::aborted:
-        // Whoever gave it up decides what is answered.
+        // The cause of the abort decides the response.
         ++state.m_possible_runs;
         return std::nullopt;
     }
@@ -161,12 +168,12 @@
         if (work.m_workspace != nullptr)
             priority = work.m_workspace->m_priority.value_or(priority);
         work.m_urgency = first_urgency + std::min(priority, lowest_priority);
-        // The last part is the conversation's own.
+        // The last part belongs to this conversation only.
         const auto& parts = work.m_fields.m_prompt_parts;
         if (parts.size() > 1)
             choice.m_shared_prefix = parts.front().m_id;
-        // No preference for open connections: a conversation stays where it
-        // begins, and its memory there is worth more than a connect.
+        // No preference for open connections: a conversation stays on its
+        // first engine, whose cached prompt saves more than a connect.
         return choice;
     }
     choice.m_connected = [this](const std::string& id) {
@@ -183,7 +190,7 @@
         !retry_allowed(m_early_retry_budget))
         return std::nullopt;
     const auto wait = retry_timeout(found->second);
-    if (!wait || *wait >= patience_factor * route.m_target_latency)
+    if (!wait || *wait >= latency_factor * route.m_target_latency)
         return std::nullopt;
     m_early_retry_budget = spend_retry(m_early_retry_budget);
     return wait;
@@ -199,7 +206,7 @@
         m_metrics.count("second_tries");
     else if (wait)
         m_early_retry_budget = refund_retry(m_early_retry_budget);
-    // What hangs says nothing of how long answers take.
+    // A hung runner says nothing about usual response times.
     if (route.m_kind == route_kind::idempotent && result.m_first_byte)
     {
         auto& times = m_first_byte_times[route.m_name];
@@ -208,7 +215,7 @@
 }
 
 task<attempt_result> proxy::attempt(std::shared_ptr<call> work,
-                                    runner_row target, bool may_repeat,
+                                    runner_row target, bool may_retry,
                                     std::optional<std::uint64_t> last_event,
                                     stream_sink sink)
 {
@@ -217,23 +224,23 @@
     ++work->m_attempts;
     work->m_runner = target.m_incarnation;
     const auto sent_at = m_time.now();
-    std::optional<instant> give_up_at;
-    std::optional<milliseconds> first_patience;
-    std::optional<milliseconds> gap_patience;
-    if (may_repeat && route.m_resumable)
+    std::optional<instant> attempt_deadline;
+    std::optional<milliseconds> first_byte_timeout;
+    std::optional<milliseconds> gap_timeout;
+    if (may_retry && route.m_resumable)
     {
-        first_patience = std::max(
-            patience_factor * route.m_target_latency,
+        first_byte_timeout = std::max(
+            latency_factor * route.m_target_latency,
             first_event_factor * m_runners.average_first_byte(route.m_name));
-        gap_patience =
+        gap_timeout =
             gap_factor * std::max(route.m_target_gap, route.m_target_latency);
     }
-    else if (may_repeat)
+    else if (may_retry)
     {
-        give_up_at =
+        attempt_deadline =
             std::min(work->m_deadline,
-                     sent_at + patience_factor * route.m_target_latency);
-        first_patience = reserve_early_retry(route);
+                     sent_at + latency_factor * route.m_target_latency);
+        first_byte_timeout = reserve_early_retry(route);
     }
     const std::string_view body =
         route.m_stateful ? work->m_body : work->m_request.body();
@@ -244,11 +251,11 @@
         route.m_name,
         route.m_kind == route_kind::stream,
         work->m_deadline,
-        give_up_at,
+        attempt_deadline,
         work->m_urgency,
         last_event,
-        first_patience,
-        gap_patience,
+        first_byte_timeout,
+        gap_timeout,
         work->m_config->m_directory.has_value(),
         work->m_workspace != nullptr ? work->m_workspace->m_name
                                      : std::string{},
@@ -261,7 +268,7 @@
     auto result = co_await run_attempt(m_io, m_time, m_pool, m_runners, m_names,
                                        runner, request, sink, work->m_aborter);
     if (!route.m_resumable)
-        record_early_retry(route, first_patience, result);
+        record_early_retry(route, first_byte_timeout, result);
     work->m_possible_runs +=
         result.m_outcome == attempt_outcome::not_run ? 0 : 1;
     result.m_duration = elapsed(sent_at, m_time.now());
@@ -290,27 +297,27 @@
                              const std::shared_ptr<call>& work,
                              const std::shared_ptr<stream_relay>& relay)
 {
-    const auto tell_taken = [caller, work](bool taken) {
-        if (!taken && caller->write_aborted())
+    const auto check_taken = [caller, work](bool written) {
+        if (!written && caller->write_aborted())
             work->m_aborter->abort(abort_cause::not_read);
-        return taken;
+        return written;
     };
     stream_sink sink;
     sink.m_begin = [=, this](const upstream_response& head) -> task<bool> {
-        // A run that goes on from another keeps the first one's head.
+        // A run that resumes another one keeps the first run's head.
         if (relay->started())
             co_return true;
         relay->mark_started();
-        const bool taken = co_await caller->begin_stream(
+        const bool written = co_await caller->begin_stream(
             head, work->m_keep_alive && !m_draining);
-        co_return tell_taken(taken);
+        co_return check_taken(written);
     };
     sink.m_data = [=](std::string_view bytes) -> task<bool> {
-        const auto whole = relay->consume(bytes);
-        if (whole.empty())
+        const auto complete = relay->consume(bytes);
+        if (complete.empty())
             co_return true;
-        const bool taken = co_await caller->write_chunk(whole);
-        co_return tell_taken(taken);
+        const bool written = co_await caller->write_chunk(complete);
+        co_return check_taken(written);
     };
     return sink;
 }
@@ -333,12 +340,12 @@
 task<std::optional<proxy::call_result>>
 proxy::wait_for_gate(std::shared_ptr<call> work)
 {
-    const auto asked = m_time.now();
+    const auto began = m_time.now();
     const auto rank = rank_of(*work);
     const auto result = co_await m_gate.acquire(
         rank, queue_timeout(rank, work->m_fields.m_program_remaining,
-                            elapsed(asked, work->m_deadline)));
-    const auto waited = elapsed(asked, m_time.now());
+                            elapsed(began, work->m_deadline)));
+    const auto waited = elapsed(began, m_time.now());
     if (waited > milliseconds(0) || !result.m_admitted)
         LOG(INFO) << "event=engine_place id=" << work->m_fields.m_id
                   << " rank=" << to_string(rank)
@@ -355,7 +362,7 @@
     settle(*work, 0);
     call_result out;
     out.m_response = refuse(
-        *work, "engines have no room",
+        *work, "all engine slots are in use",
         retry_delay(result.m_expected_wait, hash64(work->m_fields.m_id)));
     co_return out;
 }
@@ -403,14 +410,14 @@
         route.m_resumable, route.m_stateful, work->m_fields.m_last_event_id);
     const auto sink = make_sink(caller, work, relay);
     attempt_progress state;
-    attempt_result cut;
+    attempt_result last_result;
     while (true)
     {
-        const bool given_up = work->m_aborter->cause() != abort_cause::none ||
-                              m_time.now() >= work->m_deadline ||
-                              !config_is_fresh(*work);
+        const bool timed_out = work->m_aborter->cause() != abort_cause::none ||
+                               m_time.now() >= work->m_deadline ||
+                               !config_is_fresh(*work);
         choice.m_random_tiebreak = ++m_random_value;
-        bool may_go_on = !given_up && state.m_refusals < most_refusals;
+        bool may_go_on = !timed_out && state.m_refusals < max_refusals;
         if (may_go_on && work->m_possible_runs > 0)
             may_go_on = co_await request_retry_quota(work);
         if (may_go_on && !choice.m_excluded.empty())
@@ -422,13 +429,13 @@
         if (row != nullptr && !co_await may_use_cold_runner(work, target))
         {
             choice.m_excluded.insert(target.m_info.m_id);
-            choice.m_warm_only = ++state.m_cold_denials >= most_cold_denials;
+            choice.m_warm_only = ++state.m_cold_denials >= max_cold_denials;
             continue;
         }
         if (row == nullptr && relay->started())
-            co_return co_await finish_stream(caller, work, cut, *relay);
+            co_return co_await finish_stream(caller, work, last_result, *relay);
         if (row == nullptr)
-            co_return finish_without_response(*work, state, given_up);
+            co_return finish_without_response(*work, state, timed_out);
         choice.m_excluded.insert(target.m_info.m_id);
         state.m_may_retry = may_retry(*work, state);
         const auto events_before = relay->events().complete_events();
@@ -438,22 +445,22 @@
                          relay->events().complete_events() - events_before);
         if (result.m_out_of_memory && !relay->started())
             co_return refuse_for_memory(*work, state);
-        const bool cut_off = result.m_outcome == attempt_outcome::unknown;
+        const bool run_lost = result.m_outcome == attempt_outcome::unknown;
         if (relay->started() && result.m_outcome == attempt_outcome::not_run)
         {
             ++state.m_refusals;
             continue;
         }
-        if (relay->started() && cut_off && state.m_may_retry)
+        if (relay->started() && run_lost && state.m_may_retry)
         {
             ++state.m_possible_runs;
             relay->discard_partial_event();
-            cut = std::move(result);
+            last_result = std::move(result);
             m_metrics.count("streams_resumed");
             LOG(INFO) << "event=stream_resumed id=" << work->m_fields.m_id
                       << " runner=" << work->m_runner
                       << " after_event=" << relay->last_event().value_or(0)
-                      << " reason=\"" << cut.m_reason << '"';
+                      << " reason=\"" << last_result.m_reason << '"';
             continue;
         }
         if (relay->started())
@@ -473,12 +480,12 @@
                      stream_relay& relay)
 {
     call_result out;
-    const bool whole = result.m_outcome == attempt_outcome::answered;
-    const std::string rest = whole ? relay.flush() : std::string{};
+    const bool complete = result.m_outcome == attempt_outcome::answered;
+    const std::string rest = complete ? relay.flush() : std::string{};
     if (!rest.empty())
     {
-        const bool taken = co_await caller->write_chunk(rest);
-        out.m_aborted = !taken;
+        const bool written = co_await caller->write_chunk(rest);
+        out.m_aborted = !written;
     }
     const auto& events = relay.events();
     const auto count_tokens = [&](std::uint32_t count) {
@@ -486,11 +493,11 @@
             count * work->m_tokens_per_event,
             std::max(work->m_fields.m_max_tokens, work->m_tokens_per_event));
     };
-    if (!whole)
+    if (!complete)
     {
-        // The end is left out, so that what came does not look whole.
+        // The last chunk is omitted, so that the stream does not look complete.
         settle(*work, count_tokens(events.started_events()));
-        work->m_reason += "stream cut: " + result.m_reason;
+        work->m_reason += "stream aborted: " + result.m_reason;
         out.m_aborted = true;
         co_return out;
     }
@@ -510,14 +517,14 @@
         log_entry entry{work->m_begin.m_retention_ms, std::move(turn)};
         if (!co_await m_turns.keep(std::move(entry), work->m_deadline))
         {
-            work->m_reason += "turn not kept";
+            work->m_reason += "the storage VMs did not store the turn";
             out.m_aborted = true;
             co_return out;
         }
     }
     else
         settle(*work, count_tokens(events.complete_events()));
-    // Callers count a turn from here on.
+    // Callers treat the turn as stored from here on.
     if (!out.m_aborted)
         out.m_aborted = !co_await caller->end_stream();
     co_return out;
--- a/src/forward/proxy_places.cpp
+++ b/src/forward/proxy_places.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Places at engines that a storage VM hands out: asked for, used, told the end
-// of.
+// Placements, which are engine slots reserved by the placement service:
+// requested, used, and reported when they end.
 #include "pepperturn/forward/proxy.hpp"
 
 #include "pepperturn/base/hash.hpp"
@@ -31,9 +31,9 @@
 
 } // namespace
 
-void proxy::set_placement_client(placement_client& places)
+void proxy::set_placement_client(placement_client& client)
 {
-    m_placement_client = &places;
+    m_placement_client = &client;
 }
 
 placement_request proxy::make_placement_request(const call& work,
@@ -70,7 +70,7 @@
 
 void proxy::request_placement(const std::shared_ptr<call>& work)
 {
-    // Of several services the conversation's own is known later.
+    // With several services, the conversation's service is known only later.
     const auto& services = work->m_route->m_services;
     if (m_placement_client == nullptr || services.size() != 1 ||
         !m_placement_client->should_request(work->m_fields.m_prompt_parts))
@@ -79,18 +79,18 @@
         work->m_config->m_services.find(services.front().m_service);
     if (found == work->m_config->m_services.end() || !found->second.m_engine)
         return;
-    auto asked = std::make_shared<pending_placement>(m_io);
-    work->m_pending_placement = asked;
+    auto pending = std::make_shared<pending_placement>(m_io);
+    work->m_pending_placement = pending;
     spawn(m_io, "proxy.place",
-          [](placement_client& places, placement_request question,
+          [](placement_client& client, placement_request request,
              std::shared_ptr<pending_placement> state) -> task<> {
-              state->m_grant = co_await places.acquire(std::move(question));
+              state->m_grant = co_await client.acquire(std::move(request));
               state->m_done = true;
               if (state->m_abandoned)
-                  places.report_end(state->m_grant, {});
+                  client.report_end(state->m_grant, {});
               state->m_completion.notify();
           }(*m_placement_client, make_placement_request(*work, found->first),
-                                                       asked));
+                                                       pending));
 }
 
 task<std::optional<proxy::call_result>>
@@ -100,28 +100,28 @@
     if (m_placement_client == nullptr ||
         !m_placement_client->should_request(work->m_fields.m_prompt_parts))
         co_return std::nullopt;
-    if (const auto asked = work->m_pending_placement)
+    if (const auto pending = work->m_pending_placement)
     {
-        while (!asked->m_done)
-            co_await asked->m_completion.wait_until(instant::max());
-        work->m_placement = asked->m_grant;
+        while (!pending->m_done)
+            co_await pending->m_completion.wait_until(instant::max());
+        work->m_placement = pending->m_grant;
     }
     else
     {
-        auto question = make_placement_request(*work, choice->m_service);
+        auto request = make_placement_request(*work, choice->m_service);
         work->m_placement =
-            co_await m_placement_client->acquire(std::move(question));
+            co_await m_placement_client->acquire(std::move(request));
     }
     work->m_placement_unreported = !work->m_placement.m_storage_vm.empty();
     work->m_pending_placement = nullptr;
-    const auto& told = work->m_placement.m_reply;
-    m_metrics.count(std::string("places_") + to_string(told.m_outcome));
-    if (told.m_outcome != placement_outcome::no_room)
+    const auto& reply = work->m_placement.m_reply;
+    m_metrics.count(std::string("places_") + to_string(reply.m_outcome));
+    if (reply.m_outcome != placement_outcome::no_room)
         co_return std::nullopt;
     settle(*work, 0);
     call_result out;
-    out.m_response = refuse(*work, "all engines are full",
-                            retry_delay(milliseconds(told.m_retry_after_ms),
+    out.m_response = refuse(*work, "all engine slots are in use",
+                            retry_delay(milliseconds(reply.m_retry_after_ms),
                                         hash64(work->m_fields.m_id)));
     co_return out;
 }
@@ -131,14 +131,14 @@
 {
     if (m_placement_client == nullptr || work->m_placement.m_storage_vm.empty())
         co_return;
-    auto question = make_placement_request(*work, choice->m_service);
+    auto request = make_placement_request(*work, choice->m_service);
     for (const auto& id : choice->m_excluded)
     {
         if (const auto* row = m_runners.find(id))
-            question.m_excluded.push_back(row->m_incarnation_hash);
+            request.m_excluded.push_back(row->m_incarnation_hash);
     }
     work->m_placement =
-        co_await m_placement_client->acquire(std::move(question));
+        co_await m_placement_client->acquire(std::move(request));
     work->m_placement_unreported = !work->m_placement.m_storage_vm.empty();
 }
 
@@ -149,7 +149,7 @@
         return nullptr;
     const auto* row =
         m_runners.find_incarnation_hash(work.m_placement.m_reply.m_runner);
-    // The lists of runners may differ for a moment.
+    // The runner lists of the VMs may differ briefly.
     const bool usable = row != nullptr && m_runners.is_eligible(*row, choice) &&
                         row->m_info.m_service == choice.m_service;
     return usable ? row : nullptr;
@@ -164,10 +164,11 @@
     const auto* row = m_runners.find_incarnation(work.m_runner);
     report.m_runner = row != nullptr ? row->m_incarnation_hash : 0;
     report.m_end = end_of(result);
-    const bool left = work.m_aborter->cause() == abort_cause::caller_left ||
-                      work.m_aborter->cause() == abort_cause::not_read;
-    if (left && result.m_first_byte)
-        // The engine did its part; what came says nothing of its pace.
+    const bool caller_ended =
+        work.m_aborter->cause() == abort_cause::caller_left ||
+        work.m_aborter->cause() == abort_cause::not_read;
+    if (caller_ended && result.m_first_byte)
+        // Not the engine's fault; an aborted run says nothing about its rate.
         report.m_end = placement_end::whole;
     else
     {
--- a/src/forward/proxy_workspaces.cpp
+++ b/src/forward/proxy_workspaces.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Whose a request is, whether this VM may still serve it, and whether the
-// limit of its workspace lets it run.
+// Admission by workspace: identifies a request's workspace, checks that the
+// configuration is fresh enough, and enforces the workspace's rate limit.
 #include "pepperturn/forward/proxy.hpp"
 
 #include "pepperturn/base/hash.hpp"
@@ -13,21 +13,22 @@
 
 namespace {
 
-/// Spreads those who are told the same time to come back, in milliseconds.
-constexpr std::uint64_t retry_spread = 100;
-/// A call of a program waits for room below a limit for at most this part of
-/// what it and its program have left: a program that is late is worth more
-/// than one that is broken off, and several such waits still fit.
+/// Jitter that is added to retry times, in milliseconds, so that refused
+/// callers do not retry all at once.
+constexpr std::uint64_t retry_jitter = 100;
+/// A call of a program waits for its rate limit for at most 1/wait_part of the
+/// time that the call and its program have left: a late program is worth more
+/// than an abandoned one, and several such waits still fit.
 constexpr milliseconds::rep wait_part = 8;
-/// Nobody waits longer: whoever cannot be served within a second is told when
-/// to come back, and does not hold a connection meanwhile.
-constexpr milliseconds longest_wait{1000};
+/// Upper bound of that wait: a caller that cannot be served within a second is
+/// told when to retry, and does not occupy a connection meanwhile.
+constexpr milliseconds max_wait{1000};
 
 } // namespace
 
-void proxy::enable_workspace_admission(workspace_admission guard)
+void proxy::enable_workspace_admission(workspace_admission admission)
 {
-    m_admission = std::move(guard);
+    m_admission = std::move(admission);
 }
 
 bool proxy::config_age_known() const
@@ -46,10 +47,10 @@
 
 upstream_response proxy::refuse_stale_config(call& work)
 {
-    // The next VM that is tried may hear the store.
+    // Another VM, which the caller tries next, may be able to reach the store.
     work.m_keep_alive = false;
     m_metrics.count("refused_stale_config");
-    return refuse(work, "the configuration may be outdated here",
+    return refuse(work, "the configuration on this VM may be outdated",
                   retry_after_isolated);
 }
 
@@ -74,10 +75,10 @@
     if (found.m_verdict == identity_verdict::uncertain)
         return refuse_stale_config(work);
     const bool unknown = found.m_verdict == identity_verdict::unknown;
-    auto answer = fail(work, unauthorized,
-                       unknown ? "unknown key" : std::string(given.m_error));
-    answer.m_fields.set(http::field::www_authenticate, m_names.m_key_scheme);
-    return answer;
+    auto response = fail(work, unauthorized,
+                         unknown ? "unknown key" : std::string(given.m_error));
+    response.m_fields.set(http::field::www_authenticate, m_names.m_key_scheme);
+    return response;
 }
 
 std::shared_ptr<proxy::pending_quota>
@@ -87,21 +88,21 @@
         work->m_workspace->m_limit.m_rate_per_s <= 0)
         return nullptr;
     const auto& fields = work->m_fields;
-    quota_request question;
-    question.m_workspace = hash64(work->m_workspace->m_name);
-    question.m_limit = work->m_workspace->m_limit;
-    question.m_config_revision = work->m_config_revision;
+    quota_request request;
+    request.m_workspace = hash64(work->m_workspace->m_name);
+    request.m_limit = work->m_workspace->m_limit;
+    request.m_config_revision = work->m_config_revision;
     if (!fields.m_program.empty())
-        question.m_program = hash64(fields.m_program);
-    question.m_begins_program = work->m_route->m_stateful &&
-                                fields.m_parent_turn.empty() &&
-                                fields.m_program_remaining.has_value();
-    auto left = elapsed(m_time.now(), work->m_deadline);
+        request.m_program = hash64(fields.m_program);
+    request.m_begins_program = work->m_route->m_stateful &&
+                               fields.m_parent_turn.empty() &&
+                               fields.m_program_remaining.has_value();
+    auto remaining = elapsed(m_time.now(), work->m_deadline);
     if (fields.m_program_remaining)
-        left = std::min(left, *fields.m_program_remaining);
-    left = std::clamp(left / wait_part, milliseconds(0), longest_wait);
-    question.m_queue_timeout_ms = static_cast<std::uint32_t>(left.count());
-    auto asked = std::make_shared<pending_quota>(m_io);
+        remaining = std::min(remaining, *fields.m_program_remaining);
+    remaining = std::clamp(remaining / wait_part, milliseconds(0), max_wait);
+    request.m_queue_timeout_ms = static_cast<std::uint32_t>(remaining.count());
+    auto pending = std::make_shared<pending_quota>(m_io);
     spawn(m_io, "proxy.quota",
           [](quota_client& quota, quota_request what,
              std::shared_ptr<pending_quota> state) -> task<> {
@@ -110,65 +111,65 @@
               state->m_completion.notify();
               if (state->m_abandoned)
                   quota.release(state->m_grant);
-          }(*m_admission.m_quota, question, asked));
-    return asked;
+          }(*m_admission.m_quota, request, pending));
+    return pending;
 }
 
 task<std::optional<upstream_response>>
 proxy::await_quota(std::shared_ptr<call> work,
-                   std::shared_ptr<pending_quota> asked)
+                   std::shared_ptr<pending_quota> pending)
 {
-    if (!asked)
+    if (!pending)
         co_return std::nullopt;
-    while (!asked->m_done)
-        co_await asked->m_completion.wait_until(instant::max());
-    work->m_quota_grant = asked->m_grant;
+    while (!pending->m_done)
+        co_await pending->m_completion.wait_until(instant::max());
+    work->m_quota_grant = pending->m_grant;
     const auto& grant = work->m_quota_grant;
     m_metrics.count(std::string("quota_") + to_string(grant.m_outcome));
     if (grant.m_outcome == quota_outcome::granted)
         co_return std::nullopt;
-    const milliseconds spread(hash64(work->m_fields.m_id) % retry_spread);
+    const milliseconds spread(hash64(work->m_fields.m_id) % retry_jitter);
     std::ostringstream limit;
     limit << "limit of " << work->m_workspace->m_name << " ("
           << work->m_workspace->m_limit.m_rate_per_s << "/s + "
           << work->m_workspace->m_limit.m_burst << ", asked "
           << grant.m_owners_asked << ')';
-    auto why = limit.str();
+    auto reason = limit.str();
     if (grant.m_outcome == quota_outcome::not_owner)
-        co_return refuse(*work, why + ": nobody counts it now",
+        co_return refuse(*work, reason + ": no owner of the limit is reachable",
                          retry_after_no_reply + spread);
     if (grant.m_request.m_begins_program)
-        why += " bears no further program now";
+        reason += " allows no further program now";
     constexpr unsigned too_many_requests = 429;
-    auto answer = refuse(*work, why, grant.m_retry_after + spread);
-    answer.m_status = too_many_requests;
-    co_return answer;
+    auto response = refuse(*work, reason, grant.m_retry_after + spread);
+    response.m_status = too_many_requests;
+    co_return response;
 }
 
 task<bool> proxy::request_retry_quota(std::shared_ptr<call> work)
 {
-    // Whoever has leave to run once needs it again for a second run.
+    // A grant covers one run; a second run needs another one.
     if (work->m_quota_grant.m_outcome != quota_outcome::granted ||
         work->m_quota_grant.m_owners_asked == 0)
         co_return true;
-    auto question = work->m_quota_grant.m_request;
-    question.m_begins_program = false;
-    const auto grant = co_await m_admission.m_quota->acquire(question);
+    auto request = work->m_quota_grant.m_request;
+    request.m_begins_program = false;
+    const auto grant = co_await m_admission.m_quota->acquire(request);
     co_return grant.m_outcome == quota_outcome::granted;
 }
 
 void proxy::abandon_quota(call& work,
-                          const std::shared_ptr<pending_quota>& asked)
+                          const std::shared_ptr<pending_quota>& pending)
 {
-    if (!asked)
+    if (!pending)
         return;
-    if (asked->m_done)
-        work.m_quota_grant = asked->m_grant;
+    if (pending->m_done)
+        work.m_quota_grant = pending->m_grant;
     else
-        asked->m_abandoned = true;
+        pending->m_abandoned = true;
 }
 
-void proxy::count_workspace(const call& work, unsigned status, bool cut)
+void proxy::count_workspace(const call& work, unsigned status, bool aborted)
 {
     if (work.m_workspace == nullptr)
         return;
@@ -181,8 +182,8 @@
     if (grant.m_outcome == quota_outcome::granted &&
         grant.m_wait > milliseconds(0))
         counts.increment(workspace_event::waited);
-    // A stream has been answered already; its status is 0 here.
-    if (!cut && status < first_failure)
+    // A stream has been sent already; its status is 0 here.
+    if (!aborted && status < first_failure)
     {
         counts.increment(workspace_event::served);
         const auto took = elapsed(work.m_arrived, m_time.now());
--- a/src/forward/stream_relay.cpp
+++ b/src/forward/stream_relay.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Bytes up to the end of the last whole event.
-std::size_t whole_bytes(const std::string& text)
+/// Number of bytes up to the end of the last complete event.
+std::size_t complete_bytes(const std::string& text)
 {
     std::size_t end = 0;
     for (const std::string_view blank : {"\n\n", "\n\r\n"})
@@ -23,9 +23,9 @@
 
 } // namespace
 
-stream_relay::stream_relay(bool resumable, bool keep_data,
+stream_relay::stream_relay(bool resumable, bool collect_data,
                            std::optional<std::uint64_t> last_event)
-    : m_resumable(resumable), m_last_event(last_event), m_events(keep_data)
+    : m_resumable(resumable), m_last_event(last_event), m_events(collect_data)
 {}
 
 std::string stream_relay::consume(std::string_view bytes)
@@ -34,9 +34,9 @@
     if (m_resumable)
     {
         m_pending += bytes;
-        const auto whole = whole_bytes(m_pending);
-        out = m_pending.substr(0, whole);
-        m_pending.erase(0, whole);
+        const auto complete = complete_bytes(m_pending);
+        out = m_pending.substr(0, complete);
+        m_pending.erase(0, complete);
     }
     else
         out = bytes;
--- a/src/forward/traffic_metrics.cpp
+++ b/src/forward/traffic_metrics.cpp
@@ -8,14 +8,14 @@
     m_counters[name] += by;
 }
 
-void traffic_metrics::record_response(milliseconds took)
+void traffic_metrics::record_response(milliseconds duration)
 {
-    m_response_times.note(took);
+    m_response_times.note(duration);
 }
 
-void traffic_metrics::record_turn_begin(milliseconds took)
+void traffic_metrics::record_turn_begin(milliseconds duration)
 {
-    m_turn_begin_times.note(took);
+    m_turn_begin_times.note(duration);
 }
 
 std::string traffic_metrics::text() const
--- a/src/forward/upstream_pool.cpp
+++ b/src/forward/upstream_pool.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /// A runner that acknowledges nothing for this long is unreachable; callers
-/// give a quiet stream up after two seconds.
-constexpr milliseconds runner_silence{800};
+/// abandon a stream without data after two seconds.
+constexpr milliseconds unresponsive_timeout{800};
 
-/// True if nothing has come in, neither bytes nor an end.
-bool is_quiet(tcp::socket& socket)
+/// True if nothing was received, neither bytes nor the end of the stream.
+bool nothing_received(tcp::socket& socket)
 {
     char byte = 0;
     const auto count =
@@ -35,7 +35,7 @@
         const auto found = m_idle.find(runner);
         if (found == m_idle.end())
             return nullptr;
-        // The one used last is the least likely to be closed meanwhile.
+        // The most recently used one is the least likely to have been closed.
         auto connection = std::move(found->second.back());
         found->second.pop_back();
         if (found->second.empty())
@@ -44,7 +44,8 @@
         auto& socket = connection->m_stream.socket();
         error_code ignored;
         socket.cancel(ignored);
-        if (m_time.now() < connection->m_usable_until && is_quiet(socket))
+        if (m_time.now() < connection->m_usable_until &&
+            nothing_received(socket))
         {
             connection->m_reused = true;
             return connection;
@@ -54,7 +55,7 @@
 }
 
 task<std::shared_ptr<upstream_connection>>
-upstream_pool::connect(std::string address, milliseconds patience,
+upstream_pool::connect(std::string address, milliseconds timeout,
                        std::string& reason)
 {
     error_code ec;
@@ -62,13 +63,13 @@
     if (!ec)
     {
         boost::beast::tcp_stream stream(m_io);
-        stream.expires_after(patience);
+        stream.expires_after(timeout);
         ++m_opened;
         co_await stream.async_connect(endpoint, into(ec));
         if (!ec)
         {
             stream.expires_never();
-            tune_socket(stream.socket(), runner_silence);
+            tune_socket(stream.socket(), unresponsive_timeout);
             bound_buffers(stream.socket(), send_buffer_bytes,
                           receive_buffer_bytes);
             co_return std::make_shared<upstream_connection>(std::move(stream));
@@ -80,9 +81,9 @@
 
 void upstream_pool::put_back(const std::string& runner,
                              std::shared_ptr<upstream_connection> connection,
-                             milliseconds usable)
+                             milliseconds usable_for)
 {
-    connection->m_usable_until = m_time.now() + usable;
+    connection->m_usable_until = m_time.now() + usable_for;
     connection->m_idle = true;
     connection->m_stream.expires_never();
     watch(runner, connection);
--- a/test/forward/test_event_reader.cpp
+++ b/test/forward/test_event_reader.cpp
@@ -10,13 +10,13 @@
 
 } // namespace
 
-TEST_CASE("what events say", "[event_reader]")
+TEST_CASE("events are counted and their data is collected", "[event_reader]")
 {
     struct sample
     {
         std::string m_bytes;
-        std::uint32_t m_whole;
-        std::uint32_t m_begun;
+        std::uint32_t m_complete;
+        std::uint32_t m_started;
         std::string m_data;
     };
     const auto each = GENERATE(values<sample>({
@@ -35,20 +35,21 @@
     INFO(each.m_bytes);
     event_reader reader(true);
     reader.consume(each.m_bytes);
-    CHECK(reader.complete_events() == each.m_whole);
-    CHECK(reader.started_events() == each.m_begun);
+    CHECK(reader.complete_events() == each.m_complete);
+    CHECK(reader.started_events() == each.m_started);
     CHECK(reader.data() == each.m_data);
 }
 
-TEST_CASE("how the bytes are cut makes no difference", "[event_reader]")
+TEST_CASE("the result does not depend on how the bytes are split",
+          "[event_reader]")
 {
     CHECK(rc::check("cuts", [](const std::string& bytes) {
-        event_reader whole(true);
-        whole.consume(bytes);
+        event_reader complete(true);
+        complete.consume(bytes);
         event_reader pieces(true);
         for (const char c : bytes)
             pieces.consume(std::string_view(&c, 1));
-        RC_ASSERT(whole.data() == pieces.data());
-        RC_ASSERT(whole.complete_events() == pieces.complete_events());
+        RC_ASSERT(complete.data() == pieces.data());
+        RC_ASSERT(complete.complete_events() == pieces.complete_events());
     }));
 }
