--- a/src/forward/caller_connection.cpp
+++ b/src/forward/caller_connection.cpp
@@ -290,15 +290,15 @@
     });
     m_write_timer.expires_at(write_deadline());
     m_write_timer.async_wait([weak = weak_from_this(),
-                              held = m_buffered](error_code ec) {
+                              account = m_buffered](error_code ec) {
         const auto self = weak.lock();
-        if (ec || !self || !held->waits_for_reader())
+        if (ec || !self || !account->waits_for_reader())
             return;
-        const auto unread = held->unread(self->m_time.now());
+        const auto unread = account->unread(self->m_time.now());
         LOG(INFO) << "event=reader_cut held=" << unread.m_buffered
                   << " taken=" << unread.m_consumed
                   << " waited_ms=" << unread.m_waited.count() << " cause=time";
-        held->disconnect();
+        account->disconnect();
     });
 }
 
--- a/src/forward/exchange.cpp
+++ b/src/forward/exchange.cpp
@@ -117,24 +117,24 @@
 /// buffers of it while it is not read; accounts for what the kernel buffers of
 /// a long body.
 /// \returns false if there is not enough memory
-bool reserve_memory(buffer_account& held, std::size_t body_bytes)
+bool reserve_memory(buffer_account& account, std::size_t body_bytes)
 {
     const bool late = body_bytes > inline_write_bytes;
-    if (!held.reserve(buffer_kind::receive_buffer,
-                      upstream_pool::receive_buffer_bytes))
+    if (!account.reserve(buffer_kind::receive_buffer,
+                         upstream_pool::receive_buffer_bytes))
         return false;
-    if (!held.reserve_more(buffer_kind::response, read_bytes))
+    if (!account.reserve_more(buffer_kind::response, read_bytes))
         return false;
-    return !late ||
-           held.add(buffer_kind::unsent_body, upstream_pool::send_buffer_bytes);
+    return !late || account.add(buffer_kind::unsent_body,
+                                upstream_pool::send_buffer_bytes);
 }
 
 /// Releases what an attempt reserved and did not use.
-void end_reserve(buffer_account& held)
+void release_reservations(buffer_account& account)
 {
-    held.end_reservation(buffer_kind::receive_buffer);
-    held.end_reservation(buffer_kind::response);
-    held.clear_blocked();
+    account.end_reservation(buffer_kind::receive_buffer);
+    account.end_reservation(buffer_kind::response);
+    account.clear_blocked();
 }
 
 /// Sends the request; large bodies are still being sent after the return.
@@ -211,23 +211,22 @@
 {
     body_read out;
     std::array<char, read_bytes> chunk;
-    auto room = chunk.size();
+    auto capacity = chunk.size();
     auto& connection = *state->m_connection;
     while (!parser.is_done())
     {
-        if (room == 0)
+        if (capacity == 0)
         {
             out.m_out_of_memory = !co_await sink.m_reserve();
-            room = chunk.size();
+            capacity = chunk.size();
         }
         if (out.m_out_of_memory)
         {
-            out.m_reason =
-                "not enough memory on this VM to buffer the response";
+            out.m_reason = "response exceeds the memory available on this VM";
             co_return out;
         }
         parser.get().body().data = chunk.data();
-        parser.get().body().size = room;
+        parser.get().body().size = capacity;
         error_code ec;
         if (gap_timeout)
             connection.m_stream.expires_after(*gap_timeout);
@@ -240,9 +239,9 @@
             out.m_reason = ec.message();
             co_return out;
         }
-        const auto count = room - parser.get().body().size;
+        const auto count = capacity - parser.get().body().size;
         if (sink.m_reserve)
-            room -= count;
+            capacity -= count;
         if (count > 0 &&
             !co_await sink.m_write(std::string_view(chunk.data(), count)))
         {
@@ -341,7 +340,7 @@
     if (request.m_buffered &&
         !reserve_memory(*request.m_buffered, request.m_body.size()))
     {
-        end_reserve(*request.m_buffered);
+        release_reservations(*request.m_buffered);
         result.m_outcome = attempt_outcome::not_run;
         result.m_out_of_memory = true;
         result.m_reason = "not enough memory on this VM to buffer the response";
@@ -428,7 +427,7 @@
         }
     }
     if (request.m_buffered)
-        end_reserve(*request.m_buffered);
+        release_reservations(*request.m_buffered);
     aborter->on_abort(nullptr);
     runners.record_request_end(runner.m_id);
     const bool surplus = connection.m_buffer.size() > 0;
--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -443,10 +443,10 @@
                           : nullptr)
             work->m_preferred_runner = row->m_incarnation;
         work->m_body += work->m_request.body();
-        const bool room =
+        const bool accounted =
             work->m_buffered->set(buffer_kind::history, work->m_body.size());
-        if (!room || (m_memory.level() == pressure_level::cutting &&
-                      !m_memory.may_read_body(work->m_body.size())))
+        if (!accounted || (m_memory.level() == pressure_level::cutting &&
+                           !m_memory.may_read_body(work->m_body.size())))
         {
             m_memory.count_refused_request();
             settle(*work, 0);
@@ -460,8 +460,7 @@
         co_return fail(*work, 402, "budget is spent");
     if (result.m_outcome == begin_outcome::no_such_turn)
         co_return fail(*work, 404, "parent turn does not exist");
-    co_return refuse(*work, "the storage VMs did not begin the turn",
-                     retry_after_no_reply);
+    co_return refuse(*work, "storage", retry_after_no_reply);
 }
 
 prompt_location proxy::locate_prompt(const call& work) const
--- a/src/forward/proxy_attempts.cpp
+++ b/src/forward/proxy_attempts.cpp
@@ -92,8 +92,7 @@
     else
         out.m_response = refuse(
             work,
-            timed_out ? "timed out before any runner accepted the request"
-                      : "no available runner accepted the request",
+            timed_out ? "timeout" : "no available runner accepted the request",
             state.m_retry_after.value_or(retry_after_no_slot));
     return out;
 }
@@ -362,7 +361,7 @@
     settle(*work, 0);
     call_result out;
     out.m_response = refuse(
-        *work, "all engine slots are in use",
+        *work, "no engine slot became free in time",
         retry_delay(result.m_expected_wait, hash64(work->m_fields.m_id)));
     co_return out;
 }
