--- a/include/pepperturn/fleet/edge_reach.hpp
+++ b/include/pepperturn/fleet/edge_connectivity.hpp
@@ -11,28 +11,28 @@
 
 namespace pepperturn {
 
-class edge_reach
+class edge_connectivity
 {
 public:
     /// \param world what this VM knows, for neighbours that ask
-    edge_reach(asio::io_context& io, const clock& time,
-               const fleet_settings& settings, member_links& links,
-               std::function<cluster_state()> world);
+    edge_connectivity(asio::io_context& io, const clock& time,
+                      const fleet_settings& settings, member_links& links,
+                      std::function<cluster_state()> world);
     /// Called for what a neighbour tells while no storage VM is heard.
     void on_state(std::function<void(const cluster_state&)> handler)
     {
-        m_detours.on_state(std::move(handler));
+        m_relay_client.on_state(std::move(handler));
     }
     /// Tells neighbours that hear no storage VM what has changed.
-    void tell_news(const cluster_state& news)
+    void send_updates(const cluster_state& news)
     {
-        m_server.send_updates(news);
+        m_relay_server.send_updates(news);
     }
 
     /// Before the links connect, as their greeting says where this VM relays.
     [[nodiscard]] bool start(std::string& reason);
     /// Storage VMs that tell neighbours.
-    void follow(const std::vector<member>& members);
+    void set_members(const std::vector<member>& members);
     /// Periodic work, a few times a second.
     void tick();
     /// Relays for nobody any more; askers turn to others at once.
@@ -44,20 +44,20 @@
     {
         return !m_relay_address.empty();
     }
-    void ask_neighbours();
+    void request_relay_peers();
     /// No storage VM is heard on its own link.
-    [[nodiscard]] bool cut_off() const;
+    [[nodiscard]] bool is_partitioned() const;
 
     const clock& m_time;
     member_links& m_links;
     std::string m_relay_address;
     std::string m_availability_zone;
-    relay_client m_detours;
-    relay_server m_server;
+    relay_client m_relay_client;
+    relay_server m_relay_server;
     std::vector<std::string> m_members;
     /// Takes turns at whom to ask.
     std::size_t m_next_member = 0;
-    instant m_next_ask{};
+    instant m_next_request{};
 };
 
 } // namespace pepperturn
--- a/include/pepperturn/fleet/runner_list.hpp
+++ b/include/pepperturn/fleet/runner_list.hpp
@@ -3,7 +3,7 @@
 /// The runners of the fleet, decoded from what is known of the world.
 #pragma once
 
-#include "pepperturn/fleet/world_source.hpp"
+#include "pepperturn/fleet/state_source.hpp"
 
 #include <map>
 
--- a/include/pepperturn/fleet/world_source.hpp
+++ b/include/pepperturn/fleet/state_source.hpp
@@ -42,19 +42,19 @@
 };
 
 /// How a source is to stay fresh.
-struct freshness_need
+struct freshness_requirement
 {
-    bool m_wanted = false;
+    bool m_required = false;
     /// Since when others are known to be fresh; empty: none is asked.
-    std::function<instant()> m_heard_at;
+    std::function<instant()> m_confirmed_elsewhere;
     /// Left to others to ask the store before this source does.
     milliseconds m_stagger{0};
 };
 
-class world_source
+class state_source
 {
 public:
-    virtual ~world_source() = default;
+    virtual ~state_source() = default;
 
     /// Called with everything known whenever something changed.
     virtual void
@@ -66,7 +66,7 @@
 
     /// Until the fleet is founded, only what it has written itself is read:
     /// hundreds of VMs start, and each would read every runner.
-    virtual void await_founding() = 0;
+    virtual void await_bootstrap() = 0;
 
     /// Asks the store once for the views of the replica sets, which may be
     /// seconds old; for a VM that knows no storage VM yet.
@@ -74,9 +74,9 @@
 
     /// Takes what another VM knows, for while the store is out of reach from
     /// here only.
-    virtual void learn(const cluster_state& news) = 0;
+    virtual void merge_remote_state(const cluster_state& news) = 0;
     /// Tells when any other VM last heard the store.
-    virtual void note_heard_elsewhere(instant at) = 0;
+    virtual void record_remote_contact(instant at) = 0;
 
     /// Tells the storage VMs that start for the first time of \p self.
     [[nodiscard]] virtual task<bool> announce(member self) = 0;
@@ -86,7 +86,7 @@
     [[nodiscard]] virtual instant last_announced() const = 0;
     /// Writes the first views of all replica sets, unless there are any.
     [[nodiscard]] virtual task<swap_result>
-    found(std::vector<cluster_view> views) = 0;
+    write_initial_views(std::vector<cluster_view> views) = 0;
     /// Asks for \p next in place of its set's view at \p expected.
     [[nodiscard]] virtual task<swap_result>
     swap_view(cluster_view next, std::uint64_t expected) = 0;
@@ -96,12 +96,12 @@
 
     /// Asks the store, while this source follows it, how old its news are;
     /// each question is priced.
-    virtual void keep_fresh(freshness_need need) = 0;
+    virtual void keep_fresh(freshness_requirement need) = 0;
     [[nodiscard]] virtual source_freshness freshness() const = 0;
     /// The store has been read whole at least once.
     [[nodiscard]] virtual bool synced() const = 0;
     /// When the store last answered.
-    [[nodiscard]] virtual instant last_heard() const = 0;
+    [[nodiscard]] virtual instant last_contact() const = 0;
     /// It follows the store, or is about to.
     [[nodiscard]] virtual bool running() const = 0;
 };
--- a/include/pepperturn/fleet/status_server.hpp
+++ b/include/pepperturn/fleet/status_server.hpp
@@ -19,7 +19,7 @@
     [[nodiscard]] bool listen(const tcp::endpoint& at, std::string& reason);
     /// The same for a process that goes on without it: a fault is logged.
     /// \param address IP:PORT; empty: nowhere
-    void listen_beside(const std::string& address);
+    void listen_optional(const std::string& address);
 
 private:
     task<> accept_callers();
--- a/include/pepperturn/fleet/storage_node.hpp
+++ b/include/pepperturn/fleet/storage_node.hpp
@@ -12,9 +12,9 @@
 #include "pepperturn/cluster/update_sources.hpp"
 #include "pepperturn/config/fleet_settings.hpp"
 #include "pepperturn/fleet/runner_list.hpp"
+#include "pepperturn/fleet/state_source.hpp"
 #include "pepperturn/fleet/status_server.hpp"
-#include "pepperturn/fleet/storage_places.hpp"
-#include "pepperturn/fleet/world_source.hpp"
+#include "pepperturn/fleet/storage_placements.hpp"
 #include "pepperturn/turns/turn_server.hpp"
 
 namespace pepperturn {
@@ -24,7 +24,7 @@
 public:
     storage_node(asio::io_context& io, const clock& time,
                  const fleet_settings& settings, state_decoders decoders,
-                 world_source& source);
+                 state_source& source);
     ~storage_node();
     storage_node(const storage_node&) = delete;
     storage_node& operator=(const storage_node&) = delete;
@@ -44,46 +44,47 @@
     void load_disk();
     /// \param reason why the log cannot be read; empty: it was
     void disk_loaded(bool damaged, const std::string& reason);
-    void take_state(const cluster_state& news);
+    void apply_state(const cluster_state& news);
     [[nodiscard]] std::string metrics_text() const;
     [[nodiscard]] bool listen(std::string& reason);
     /// Who this VM is, as it stands in a view.
     [[nodiscard]] member self() const;
     [[nodiscard]] membership_facts gather_facts(const cluster_view& view) const;
-    task<> look_after_membership();
+    task<> maintain_membership();
     /// Announces this VM, and writes the first views once all have done so.
-    task<> found_fleet();
+    task<> bootstrap_fleet();
     task<> change_view();
     task<> report_emptied();
     /// The view that this VM is in, or should join; empty: it stands by.
-    [[nodiscard]] std::optional<cluster_view> view_to_look_after() const;
+    [[nodiscard]] std::optional<cluster_view> view_to_maintain() const;
     /// Connects to the own set and to whoever watches the store.
-    void follow_views();
+    void update_connections();
     /// Hears the world from the VMs that are to tell it, if any is there.
-    void choose_news();
+    void choose_update_sources();
     /// Whether this VM reads the store before it knows the fleet: when all
     /// start for the first time, a few do.
-    [[nodiscard]] bool may_found() const;
+    [[nodiscard]] bool may_bootstrap() const;
     /// Watches the store, or stops, by what the other storage VMs say.
     void choose_watching();
     [[nodiscard]] watch_facts gather_watch_facts();
     /// When the store was last heard, by this VM or one that watches it.
-    [[nodiscard]] instant store_heard() const;
+    [[nodiscard]] instant last_store_contact() const;
     /// Whom to ask how fresh what they know is.
     [[nodiscard]] std::vector<std::string> freshness_sources() const;
     /// Whether callers have keys, by the newest configuration.
-    void follow_config();
+    void update_config();
     /// The same for what the disk remembers, once the loop has answered those
     /// that wait for this VM.
-    task<> follow_first_config();
+    task<> load_first_config();
     /// Has the store asked, by this VM or by those that watch it.
-    void keep_fresh();
+    void update_freshness_polling();
     /// What this VM knows of the store, and how old that is.
     [[nodiscard]] freshness_bound freshness() const;
     /// \param asker number of its connection
     /// \returns false: the question is about turns
-    [[nodiscard]] bool answer(std::uint64_t asker, const frame_body& question,
-                              const turn_server::reply& reply);
+    [[nodiscard]] bool handle_request(std::uint64_t asker,
+                                      const frame_body& question,
+                                      const turn_server::reply& reply);
     [[nodiscard]] quota_reply count_request(const quota_request& question);
     /// What this VM has counted, by workspace.
     [[nodiscard]] std::string workspace_text() const;
@@ -94,26 +95,26 @@
     task<bool> copy_once(std::string name, std::uint64_t epoch, bool gathered);
     task<bool> copy_turns(std::string name,
                           std::vector<std::uint64_t> positions);
-    void note_isolation();
+    void detect_isolation();
 
     asio::io_context& m_io;
     const clock& m_time;
     fleet_settings m_settings;
-    world_source& m_source;
+    state_source& m_source;
     status_server m_status;
     member_links m_links;
     config_fetcher m_config_fetcher;
     state_decoders m_decoders;
-    freshness_poller m_freshness_keeper;
+    freshness_poller m_freshness_poller;
     staleness_limits m_staleness_limits;
     limiter m_limiter;
     /// Names of the configuration's workspaces, by their hashes.
     std::map<std::uint64_t, std::string> m_workspace_names;
     owner_knowledge m_owners;
-    storage_places m_places;
+    storage_placements m_placements;
     bool m_counts_shares = false;
     /// Revision of the configuration that says so.
-    std::uint64_t m_config_looked_at = 0;
+    std::uint64_t m_decoded_config_revision = 0;
     std::unique_ptr<turn_log> m_log;
     std::unique_ptr<turn_store> m_store;
     std::unique_ptr<turn_server> m_server;
@@ -131,7 +132,7 @@
     /// The order in which storage VMs watch the store.
     std::vector<std::string> m_watch_order;
     /// Who is to tell this VM the world.
-    std::vector<std::string> m_news_sources;
+    std::vector<std::string> m_update_sources;
     /// Since when too few watch it.
     std::optional<instant> m_too_few_since;
     /// A view that is newer than this is waited for before the next change.
@@ -143,7 +144,7 @@
     bool m_emptied_reported = false;
     bool m_emptying_reported = false;
     instant m_started{};
-    instant m_next_beat{};
+    instant m_next_heartbeat{};
     instant m_next_expiry{};
 };
 
--- a/include/pepperturn/fleet/storage_places.hpp
+++ b/include/pepperturn/fleet/storage_placements.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "pepperturn/base/zone_map.hpp"
-#include "pepperturn/fleet/world_source.hpp"
+#include "pepperturn/fleet/state_source.hpp"
 #include "pepperturn/scheduling/engine_places.hpp"
 #include "pepperturn/turns/turn_server.hpp"
 
@@ -14,51 +14,52 @@
 
 namespace pepperturn {
 
-class storage_places
+class storage_placements
 {
 public:
-    storage_places(const clock& time, zone_map zones);
+    storage_placements(const clock& time, zone_map zones);
 
-    void take_config(const routing_config& config);
-    void take_changes(const std::vector<runner_change>& changes);
+    void apply_config(const routing_config& config);
+    void apply_changes(const std::vector<runner_change>& changes);
     /// No places at engines of \p zones.
     void evacuate(const std::vector<std::string>& zones);
 
     /// \param asker number of its connection
-    void ask(std::uint64_t asker, const placement_request& question,
-             const turn_server::reply& reply);
-    void report(const placement_report& report);
+    void handle_request(std::uint64_t asker, const placement_request& question,
+                        const turn_server::reply& reply);
+    void handle_report(const placement_report& report);
     /// The connection has ended: places asked for on it come back, since
     /// whoever was killed tells no ends, and engines would seem full of runs
     /// that are over.
-    void note_gone(std::uint64_t asker);
+    void release_connection(std::uint64_t asker);
     /// Periodic work: those whose wait is over.
     void tick();
     void write_metrics(std::string& out) const;
 
 private:
     /// A call in line whose asker waits for the decision.
-    struct collector
+    struct waiter
     {
         turn_server::reply m_reply;
-        instant m_until{};
+        instant m_deadline{};
     };
 
-    void collect(const placement_request& question,
-                 const turn_server::reply& reply);
-    void answer_decided();
+    void await_decision(const placement_request& question,
+                        const turn_server::reply& reply);
+    void send_decisions();
     /// Notes whose call it is.
-    void note_asker(std::uint64_t asker, const placement_request& question);
+    void record_requester(std::uint64_t asker,
+                          const placement_request& question);
     void forget_call(std::uint64_t call);
     /// Follows a service's engines if this VM is asked for places there; the
     /// work goes with its runners.
     void refresh(const std::string& service);
-    void refresh_asked();
-    void note_asked(std::uint64_t service);
+    void refresh_requested();
+    void record_service_request(std::uint64_t service);
 
     const clock& m_time;
     zone_map m_zones;
-    engine_placements m_places;
+    engine_placements m_placements;
     /// Of services that are engines, by name.
     std::map<std::string, service> m_engines;
     /// A runner, and until when it is cold.
@@ -72,17 +73,17 @@
     /// Services whose engines have changed since they were followed.
     std::set<std::string> m_outdated;
     /// When places of a service were last asked for here, by its hash.
-    std::unordered_map<std::uint64_t, instant> m_asked;
-    std::unordered_map<std::uint64_t, collector> m_collectors;
+    std::unordered_map<std::uint64_t, instant> m_requested;
+    std::unordered_map<std::uint64_t, waiter> m_waiters;
     /// Calls with a place or in line, by asker; each with its service.
     std::unordered_map<std::uint64_t,
                        std::unordered_map<std::uint64_t, std::uint64_t>>
-        m_open;
+        m_open_calls;
     /// The asker of each of these.
-    std::unordered_map<std::uint64_t, std::uint64_t> m_askers;
+    std::unordered_map<std::uint64_t, std::uint64_t> m_requesters;
     /// Decided before they were asked for.
     std::unordered_map<std::uint64_t, placement_reply> m_decided;
-    std::array<std::uint64_t, 4> m_answers{};
+    std::array<std::uint64_t, 4> m_reply_counts{};
 };
 
 } // namespace pepperturn
--- a/src/fleet/edge_node.cpp
+++ b/src/fleet/edge_node.cpp
@@ -32,17 +32,18 @@
 
 edge_node::edge_node(asio::io_context& io, const clock& time,
                      const fleet_settings& settings, wire_names names,
-                     state_decoders decoders, world_source& source)
+                     state_decoders decoders, state_source& source)
     : m_io(io), m_time(time), m_settings(settings),
       m_decoders(std::move(decoders)), m_source(source),
       m_links(io, time, settings.m_name),
-      m_reach(io, time, settings, m_links,
-              [this] { return full_state(m_state); }),
-      m_config_fetcher(io, time, m_links, settings.m_availability_zone,
-                       [this](const cluster_state& news) { take_state(news); }),
+      m_connectivity(io, time, settings, m_links,
+                     [this] { return full_state(m_state); }),
+      m_config_fetcher(
+          io, time, m_links, settings.m_availability_zone,
+          [this](const cluster_state& news) { apply_state(news); }),
       m_turns(io, time, m_links, settings.m_availability_zone,
               settings.m_disk_losses),
-      m_freshness_keeper(
+      m_freshness_poller(
           io, time, m_links,
           {[this] { return freshness_sources(); },
            [this] { return m_config_revision; },
@@ -53,7 +54,7 @@
                          milliseconds(settings.m_apply_ms)},
       m_quota(io, time, m_links),
       m_cold(time, m_quota, settings.m_cold_excess, settings.m_cold_slack),
-      m_places(io, time, m_links, settings.m_place_from_tokens),
+      m_placements(io, time, m_links, settings.m_place_from_tokens),
       m_proxy(io, time, std::move(names), settings.m_availability_zone,
               m_turns),
       m_status(
@@ -70,8 +71,8 @@
 std::string edge_node::metrics_text() const
 {
     auto out = m_proxy.metrics_text();
-    m_reach.write_metrics(out);
-    write_metric(out, "runner_entries_told", m_entries_told);
+    m_connectivity.write_metrics(out);
+    write_metric(out, "runner_entries_told", m_entries_received);
     write_metric(out, "runner_entries_read", m_entries_read);
     return out;
 }
@@ -92,25 +93,26 @@
         return false;
     }
     if (!m_proxy.listen(callers, reason) || !m_status.listen(ready, reason) ||
-        !m_reach.start(reason))
+        !m_connectivity.start(reason))
         return false;
-    m_metrics.listen_beside(m_settings.m_metrics_address);
+    m_metrics.listen_optional(m_settings.m_metrics_address);
     m_proxy.set_memory_limit(m_settings.m_memory_mb);
     m_proxy.enable_workspace_admission(
         {[this] { return config_age(); }, m_staleness_limits, &m_quota});
     m_proxy.set_zones(m_settings.m_zones);
     m_turns.set_zones(m_settings.m_zones);
-    m_proxy.set_placement_client(m_places);
+    m_proxy.set_placement_client(m_placements);
     m_proxy.set_cold_client(m_cold);
     m_proxy.set_random_seed(hash64(m_settings.m_name));
     m_links.on_state(
         [this](const std::string& from, const cluster_state& news) {
-            take_told(news);
+            apply_received_state(news);
             m_config_fetcher.note_announced(from, news.m_config_revision);
         });
-    m_source.on_state([this](const cluster_state& news) { take_read(news); });
-    m_reach.on_state([this](const cluster_state& news) {
-        take_told(news);
+    m_source.on_state(
+        [this](const cluster_state& news) { apply_store_state(news); });
+    m_connectivity.on_state([this](const cluster_state& news) {
+        apply_received_state(news);
         // A long configuration is asked for through a neighbour as well.
         for (const auto& row : m_members)
             m_config_fetcher.note_announced(row.m_name, news.m_config_revision);
@@ -122,7 +124,7 @@
     // Before the fleet is founded the store has no views.
     if (!m_settings.m_bootstrap)
         spawn(m_io, "edge_node.find_members", find_members());
-    spawn(m_io, "edge_node.hasten_news", hasten_news());
+    spawn(m_io, "edge_node.hasten_news", speed_up_first_updates());
     return true;
 }
 
@@ -133,28 +135,28 @@
         co_await m_source.read_views();
 }
 
-task<> edge_node::hasten_news()
+task<> edge_node::speed_up_first_updates()
 {
     while (!m_proxy.has_config() && m_time.now() - m_started < hasten_span)
     {
-        choose_news();
+        choose_update_sources();
         co_await sleep_for(m_io, hasten_interval);
     }
 }
 
-void edge_node::take_told(const cluster_state& news)
+void edge_node::apply_received_state(const cluster_state& news)
 {
-    m_entries_told += news.m_runners.size();
-    take_state(news);
+    m_entries_received += news.m_runners.size();
+    apply_state(news);
 }
 
-void edge_node::take_read(const cluster_state& news)
+void edge_node::apply_store_state(const cluster_state& news)
 {
     m_entries_read += news.m_runners.size();
-    take_state(news);
+    apply_state(news);
 }
 
-void edge_node::take_state(const cluster_state& news)
+void edge_node::apply_state(const cluster_state& news)
 {
     const auto change = merge_state(m_state, news);
     m_config_fetcher.note_known(m_state.m_config_revision);
@@ -167,7 +169,7 @@
             m_config_revision = m_state.m_config_revision;
             m_proxy.apply_config(std::move(*config), m_config_revision);
             m_source.keep_fresh({m_proxy.requires_keys(), {}, {}});
-            m_freshness_keeper.set_enabled(m_proxy.requires_keys());
+            m_freshness_poller.set_enabled(m_proxy.requires_keys());
         }
         else
             LOG(ERROR) << "event=config_unreadable revision="
@@ -180,26 +182,26 @@
     if (!change.m_evacuations.empty())
         m_proxy.evacuate(evacuated_zones(m_state));
     if (!change.m_views.empty())
-        follow_views();
+        apply_views();
     if (change.any())
-        m_reach.tell_news(changed_parts(m_state, change));
+        m_connectivity.send_updates(changed_parts(m_state, change));
 }
 
-void edge_node::follow_views()
+void edge_node::apply_views()
 {
     m_members = members_of(m_state.m_views);
     LOG(INFO) << "event=views_taken sets=" << m_state.m_views.size()
               << " members=" << m_members.size();
     // Whoever is connected to first must already know whether it is heard.
     m_subscribed = true;
-    choose_news();
+    choose_update_sources();
     m_links.set_members(m_members);
-    m_reach.follow(m_members);
-    choose_news();
+    m_connectivity.set_members(m_members);
+    choose_update_sources();
     m_config_fetcher.set_members(m_members);
     m_turns.follow(m_state.m_views);
     m_quota.set_members(m_members);
-    m_places.set_members(m_members);
+    m_placements.set_members(m_members);
 }
 
 std::vector<std::string> edge_node::freshness_sources() const
@@ -228,7 +230,7 @@
 
 milliseconds edge_node::config_age() const
 {
-    auto at = m_freshness_keeper.freshness().m_config_confirmed_at;
+    auto at = m_freshness_poller.freshness().m_config_confirmed_at;
     const auto& own = m_source.freshness();
     if (own.m_config_revision <= m_config_revision)
         at = std::max(at, own.m_freshness.m_config_confirmed_at);
@@ -241,7 +243,7 @@
            config_age() > max_use_age(m_staleness_limits);
 }
 
-void edge_node::choose_news()
+void edge_node::choose_update_sources()
 {
     if (!m_subscribed)
         return;
@@ -278,8 +280,8 @@
 void edge_node::tick()
 {
     choose_source();
-    choose_news();
-    m_reach.tick();
+    choose_update_sources();
+    m_connectivity.tick();
 }
 
 void edge_node::stop()
@@ -288,7 +290,7 @@
         return;
     LOG(INFO) << "event=stop_begun active=" << m_proxy.active_requests();
     m_proxy.begin_drain();
-    m_reach.stop_relaying();
+    m_connectivity.stop_relaying();
     spawn(m_io, "edge_node.drain", drain());
 }
 
--- a/src/fleet/status_server.cpp
+++ b/src/fleet/status_server.cpp
@@ -31,7 +31,7 @@
     return true;
 }
 
-void status_server::listen_beside(const std::string& address)
+void status_server::listen_optional(const std::string& address)
 {
     if (address.empty())
         return;
--- a/src/fleet/storage_limits.cpp
+++ b/src/fleet/storage_limits.cpp
@@ -43,18 +43,18 @@
     return out;
 }
 
-void storage_node::follow_config()
+void storage_node::update_config()
 {
     const auto& state = m_server->state();
-    if (m_config_looked_at != state.m_config_revision)
+    if (m_decoded_config_revision != state.m_config_revision)
     {
-        m_config_looked_at = state.m_config_revision;
+        m_decoded_config_revision = state.m_config_revision;
         std::string reason;
         const auto config = m_decoders.m_config(state.m_config, reason);
         if (config)
         {
             m_counts_shares = config->m_directory || has_cold_limits(*config);
-            m_places.take_config(*config);
+            m_placements.apply_config(*config);
             m_workspace_names.clear();
             if (config->m_directory)
                 for (const auto& row : config->m_directory->m_workspaces)
@@ -65,10 +65,10 @@
                        << state.m_config_revision << " reason=\"" << reason
                        << '"';
     }
-    keep_fresh();
+    update_freshness_polling();
 }
 
-void storage_node::keep_fresh()
+void storage_node::update_freshness_polling()
 {
     // Where nothing is shared out, nothing hangs on its age.
     const auto own = std::find(m_watch_order.begin(), m_watch_order.end(),
@@ -76,23 +76,24 @@
     m_source.keep_fresh(
         {m_counts_shares && m_source.running(),
          [this] {
-             return m_freshness_keeper.freshness().m_config_confirmed_at;
+             return m_freshness_poller.freshness().m_config_confirmed_at;
          },
          check_stagger * std::min<std::ptrdiff_t>(own - m_watch_order.begin(),
                                                   most_turns)});
-    m_freshness_keeper.set_enabled(m_counts_shares);
+    m_freshness_poller.set_enabled(m_counts_shares);
 }
 
 freshness_bound storage_node::freshness() const
 {
     const auto& own = m_source.freshness();
     if (own.m_config_revision > m_server->state().m_config_revision)
-        return m_freshness_keeper.freshness();
-    return newest(own.m_freshness, m_freshness_keeper.freshness());
+        return m_freshness_poller.freshness();
+    return newest(own.m_freshness, m_freshness_poller.freshness());
 }
 
-bool storage_node::answer(std::uint64_t asker, const frame_body& question,
-                          const turn_server::reply& reply)
+bool storage_node::handle_request(std::uint64_t asker,
+                                  const frame_body& question,
+                                  const turn_server::reply& reply)
 {
     if (std::holds_alternative<want_freshness_message>(question))
         reply(report_freshness(freshness(), m_server->state().m_config_revision,
@@ -100,10 +101,10 @@
     else if (const auto* asked = std::get_if<quota_request>(&question))
         reply(count_request(*asked));
     else if (const auto* place = std::get_if<placement_request>(&question))
-        m_places.ask(asker, *place, reply);
+        m_placements.handle_request(asker, *place, reply);
     else if (const auto* ended = std::get_if<placement_report>(&question))
     {
-        m_places.report(*ended);
+        m_placements.handle_report(*ended);
         reply(appended_message{});
     }
     else
--- a/src/fleet/storage_membership.cpp
+++ b/src/fleet/storage_membership.cpp
@@ -62,12 +62,12 @@
     return facts;
 }
 
-task<> storage_node::look_after_membership()
+task<> storage_node::maintain_membership()
 {
     while (!m_stopping)
     {
         if (m_server->disk_good() && m_server->state().m_views.empty())
-            co_await found_fleet();
+            co_await bootstrap_fleet();
         else if (m_server->disk_good())
         {
             if (!m_copying &&
@@ -83,13 +83,13 @@
     }
 }
 
-task<> storage_node::found_fleet()
+task<> storage_node::bootstrap_fleet()
 {
     // Only a first start may begin with nothing; else an empty store means
     // that it was read wrongly.
     if (!m_settings.m_bootstrap)
         co_return;
-    if (!m_announced && (m_source.synced() || !may_found()))
+    if (!m_announced && (m_source.synced() || !may_bootstrap()))
         m_announced = co_await m_source.announce(self());
     if (!m_source.synced())
         co_return;
@@ -106,13 +106,13 @@
         co_return;
     auto views = initial_views(std::move(vms), m_settings.m_disk_losses);
     const auto sets = views.size();
-    const auto result = co_await m_source.found(std::move(views));
+    const auto result = co_await m_source.write_initial_views(std::move(views));
     LOG(INFO) << "event=fleet_founded sets=" << sets
               << " outcome=" << result.m_reason;
     m_next_change = m_time.now() + conflict_patience;
 }
 
-std::optional<cluster_view> storage_node::view_to_look_after() const
+std::optional<cluster_view> storage_node::view_to_maintain() const
 {
     const auto& own = m_server->own_view();
     if (!own.m_members.empty())
@@ -149,7 +149,7 @@
         co_await report_emptied();
         co_return;
     }
-    const auto view = view_to_look_after();
+    const auto view = view_to_maintain();
     if (!view)
         co_return;
     const auto facts = gather_facts(*view);
@@ -173,7 +173,7 @@
     cluster_state news;
     next->m_epoch = result.m_epoch;
     news.m_views = {std::move(*next)};
-    take_state(news);
+    apply_state(news);
 }
 
 task<bool> storage_node::copy_turns(std::string name,
@@ -290,7 +290,7 @@
     m_copying = false;
 }
 
-void storage_node::note_isolation()
+void storage_node::detect_isolation()
 {
     std::uint32_t unheard = 0;
     const auto now = m_time.now();
--- a/src/fleet/storage_node.cpp
+++ b/src/fleet/storage_node.cpp
@@ -44,15 +44,16 @@
 
 storage_node::storage_node(asio::io_context& io, const clock& time,
                            const fleet_settings& settings,
-                           state_decoders decoders, world_source& source)
+                           state_decoders decoders, state_source& source)
     : m_io(io), m_time(time), m_settings(settings), m_source(source),
       m_status(
           io, [this] { return m_loaded; }, [this] { return metrics_text(); }),
       m_links(io, time, settings.m_name),
-      m_config_fetcher(io, time, m_links, settings.m_availability_zone,
-                       [this](const cluster_state& news) { take_state(news); }),
+      m_config_fetcher(
+          io, time, m_links, settings.m_availability_zone,
+          [this](const cluster_state& news) { apply_state(news); }),
       m_decoders(std::move(decoders)),
-      m_freshness_keeper(
+      m_freshness_poller(
           io, time, m_links,
           {[this] { return freshness_sources(); },
            [this] { return m_server->state().m_config_revision; },
@@ -64,7 +65,7 @@
                          milliseconds(settings.m_apply_ms)},
       m_limiter({.m_slack = spare_share * settings.m_quota_slack,
                  .m_excess = excess_share * settings.m_quota_excess}),
-      m_places(time, settings.m_zones)
+      m_placements(time, settings.m_zones)
 {}
 
 storage_node::~storage_node()
@@ -111,7 +112,7 @@
               << " ms=" << (m_time.now() - m_started) / milliseconds(1);
     m_loaded = true;
     m_server->open(m_disk);
-    spawn(m_io, "storage_node.membership", look_after_membership());
+    spawn(m_io, "storage_node.membership", maintain_membership());
 }
 
 bool storage_node::listen(std::string& reason)
@@ -126,7 +127,7 @@
     if (!m_server->listen(frames, reason))
         return false;
     // After what the VM is for, should both name the same port.
-    m_status.listen_beside(m_settings.m_metrics_address);
+    m_status.listen_optional(m_settings.m_metrics_address);
     return true;
 }
 
@@ -138,7 +139,7 @@
         write_metric(out, "turns", m_store->turn_count());
         write_metric(out, "programs", m_store->program_count());
     }
-    const auto heard = store_heard();
+    const auto heard = last_store_contact();
     if (heard != instant{})
         write_metric(out, "store_age_ms",
                      static_cast<std::uint64_t>((m_time.now() - heard) /
@@ -150,7 +151,7 @@
           quota_outcome::not_owner})
         write_metric(out, std::string("quota_") + to_string(outcome),
                      m_limiter.count(outcome));
-    m_places.write_metrics(out);
+    m_placements.write_metrics(out);
     out += workspace_text();
     m_server->write_metrics(out);
     return out;
@@ -172,30 +173,31 @@
         return false;
     m_server->on_change([this](const state_change& change) {
         if (!change.m_views.empty())
-            follow_views();
+            update_connections();
         if (change.m_config && m_answering)
-            follow_config();
+            update_config();
         if (!change.m_runners.empty())
-            m_places.take_changes(decode_runners(m_server->state(),
-                                                 change.m_runners, m_decoders));
+            m_placements.apply_changes(decode_runners(
+                m_server->state(), change.m_runners, m_decoders));
         if (!change.m_evacuations.empty())
-            m_places.evacuate(evacuated_zones(m_server->state()));
+            m_placements.evacuate(evacuated_zones(m_server->state()));
     });
     m_server->on_question([this](std::uint64_t asker,
                                  const frame_body& question,
                                  const turn_server::reply& reply) {
-        return answer(asker, question, reply);
+        return handle_request(asker, question, reply);
+    });
+    m_server->on_gone([this](std::uint64_t asker) {
+        m_placements.release_connection(asker);
     });
-    m_server->on_gone(
-        [this](std::uint64_t asker) { m_places.note_gone(asker); });
     m_links.on_hello([this] { return m_server->state().m_runners_revision; });
     m_links.on_state(
         [this](const std::string& from, const cluster_state& news) {
-            take_state(news);
-            m_source.learn(news);
+            apply_state(news);
+            m_source.merge_remote_state(news);
             m_config_fetcher.note_announced(from, news.m_config_revision);
         });
-    m_source.on_state([this](const cluster_state& news) { take_state(news); });
+    m_source.on_state([this](const cluster_state& news) { apply_state(news); });
     m_server->load_state();
     // What is on the disk says whose the limits were until now.
     const auto& kept = m_server->state();
@@ -203,47 +205,47 @@
         kept.m_views, kept.m_settled_epoch == newest_epoch(kept), m_started,
         m_staleness_limits.m_max_revoke_delay);
     // An entry that lapsed while every VM was down has time to come back.
-    m_source.learn(m_server->state());
+    m_source.merge_remote_state(m_server->state());
     if (m_settings.m_bootstrap && m_server->state().m_views.empty())
-        m_source.await_founding();
+        m_source.await_bootstrap();
     // In a large fleet that starts anew, the watchers alone read the store.
     if (m_watch_order.size() > m_settings.m_kept_links)
         choose_watching();
     // Seeds found the fleet, and tell the others.
-    else if (may_found() || !m_watch_order.empty())
+    else if (may_bootstrap() || !m_watch_order.empty())
         m_source.start();
     else
         m_links.connect_seeds(m_settings.m_seeds);
     load_disk();
-    spawn(m_io, "storage_node.follow_config", follow_first_config());
+    spawn(m_io, "storage_node.follow_config", load_first_config());
     return true;
 }
 
-task<> storage_node::follow_first_config()
+task<> storage_node::load_first_config()
 {
     co_await sleep_for(m_io, first_answers);
     m_answering = true;
-    follow_config();
+    update_config();
 }
 
-void storage_node::take_state(const cluster_state& news)
+void storage_node::apply_state(const cluster_state& news)
 {
     m_server->take_state(news);
     m_config_fetcher.note_known(m_server->state().m_config_revision);
 }
 
-void storage_node::follow_views()
+void storage_node::update_connections()
 {
     const auto members = members_of(m_server->state().m_views);
     m_watch_order = watch_order(members);
     const auto watchers = m_watch_order.begin() +
                           static_cast<std::ptrdiff_t>(
                               std::min(m_watch_order.size(), watch_candidates));
-    m_news_sources =
+    m_update_sources =
         storage_sources(members, m_settings.m_name, m_settings.m_kept_links);
     // The watchers' beats tell how old the news are, whoever passes them on.
     std::set<std::string> heard(m_watch_order.begin(), watchers);
-    heard.insert(m_news_sources.begin(), m_news_sources.end());
+    heard.insert(m_update_sources.begin(), m_update_sources.end());
     std::vector<member> wanted;
     for (const auto& row : members)
     {
@@ -256,15 +258,15 @@
                      takeover))
         LOG(WARNING) << "event=views_missed owners=unknown for_ms="
                      << takeover.count();
-    choose_news();
+    choose_update_sources();
     m_links.set_members(wanted);
     m_config_fetcher.set_members(members);
 }
 
-void storage_node::choose_news()
+void storage_node::choose_update_sources()
 {
     const bool silent = std::none_of(
-        m_news_sources.begin(), m_news_sources.end(),
+        m_update_sources.begin(), m_update_sources.end(),
         [this](const auto& name) { return m_links.may_reach(name); });
     // All that pass the news on in this zone are away: the watchers tell.
     const auto watchers = std::min(m_watch_order.size(), watch_candidates);
@@ -272,10 +274,10 @@
                                    m_watch_order.begin(),
                                    m_watch_order.begin() +
                                        static_cast<std::ptrdiff_t>(watchers))
-                             : m_news_sources);
+                             : m_update_sources);
 }
 
-bool storage_node::may_found() const
+bool storage_node::may_bootstrap() const
 {
     const auto& seeds = m_settings.m_seeds;
     return !m_settings.m_bootstrap || seeds.empty() ||
@@ -313,7 +315,7 @@
     // Before there are views, nobody can tell whom to hear.
     const auto facts = gather_watch_facts();
     const bool wanted =
-        m_watch_order.empty() ? may_found() : should_watch(facts);
+        m_watch_order.empty() ? may_bootstrap() : should_watch(facts);
     if (wanted == m_source.running())
         return;
     LOG(INFO) << "event=watching_chosen watching=" << wanted
@@ -326,9 +328,9 @@
         m_source.pause();
 }
 
-instant storage_node::store_heard() const
+instant storage_node::last_store_contact() const
 {
-    const auto own = m_source.synced() ? m_source.last_heard() : instant{};
+    const auto own = m_source.synced() ? m_source.last_contact() : instant{};
     // Only from those that watch: what others pass on would go in circles.
     return std::max(own, m_links.store_last_watched());
 }
@@ -336,18 +338,18 @@
 void storage_node::tick()
 {
     const auto now = m_time.now();
-    note_isolation();
+    detect_isolation();
     choose_watching();
-    if (!m_news_sources.empty())
-        choose_news();
-    keep_fresh();
-    m_places.tick();
-    if (now >= m_next_beat)
+    if (!m_update_sources.empty())
+        choose_update_sources();
+    update_freshness_polling();
+    m_placements.tick();
+    if (now >= m_next_heartbeat)
     {
-        m_next_beat = now + beat_interval;
-        m_source.note_heard_elsewhere(m_links.store_last_watched());
-        const auto age =
-            std::chrono::duration_cast<milliseconds>(now - store_heard());
+        m_next_heartbeat = now + beat_interval;
+        m_source.record_remote_contact(m_links.store_last_watched());
+        const auto age = std::chrono::duration_cast<milliseconds>(
+            now - last_store_contact());
         constexpr milliseconds most{UINT32_MAX};
         m_server->send_beat(std::min(age, most), m_source.running());
     }
--- a/src/fleet/storage_places.cpp
+++ b/src/fleet/storage_placements.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/fleet/storage_places.hpp"
+#include "pepperturn/fleet/storage_placements.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
@@ -19,11 +19,11 @@
 
 } // namespace
 
-storage_places::storage_places(const clock& time, zone_map zones)
+storage_placements::storage_placements(const clock& time, zone_map zones)
     : m_time(time), m_zones(std::move(zones))
 {}
 
-void storage_places::take_config(const routing_config& config)
+void storage_placements::apply_config(const routing_config& config)
 {
     m_engines.clear();
     for (const auto& [name, row] : config.m_services)
@@ -33,10 +33,11 @@
         m_engines[name] = row;
         m_outdated.insert(name);
     }
-    refresh_asked();
+    refresh_requested();
 }
 
-void storage_places::take_changes(const std::vector<runner_change>& changes)
+void storage_placements::apply_changes(
+    const std::vector<runner_change>& changes)
 {
     const auto now = m_time.now();
     for (const auto& change : changes)
@@ -53,36 +54,36 @@
         else if (known != m_runners.end())
             m_runners.erase(known);
     }
-    refresh_asked();
+    refresh_requested();
 }
 
-void storage_places::evacuate(const std::vector<std::string>& zones)
+void storage_placements::evacuate(const std::vector<std::string>& zones)
 {
     m_evacuated = {zones.begin(), zones.end()};
     for (const auto& [name, row] : m_engines)
         m_outdated.insert(name);
-    refresh_asked();
+    refresh_requested();
 }
 
-void storage_places::refresh_asked()
+void storage_placements::refresh_requested()
 {
     const auto now = m_time.now();
-    std::erase_if(m_asked, [&](const auto& entry) {
+    std::erase_if(m_requested, [&](const auto& entry) {
         return now - entry.second > asked_memory;
     });
     std::vector<std::uint64_t> services;
     for (const auto& [name, row] : m_engines)
     {
-        if (!m_asked.contains(hash64(name)))
+        if (!m_requested.contains(hash64(name)))
             continue;
         services.push_back(hash64(name));
         refresh(name);
     }
-    m_places.retain_services(services);
-    answer_decided();
+    m_placements.retain_services(services);
+    send_decisions();
 }
 
-void storage_places::refresh(const std::string& service)
+void storage_placements::refresh(const std::string& service)
 {
     if (m_outdated.erase(service) == 0)
         return;
@@ -104,13 +105,13 @@
              .m_cold_until = row.m_cold_until,
              .m_cold_per_s = profile.m_cold_requests_per_s});
     }
-    m_places.set_engines(hash64(service), engines, m_time.now());
+    m_placements.set_engines(hash64(service), engines, m_time.now());
 }
 
-void storage_places::note_asked(std::uint64_t service)
+void storage_placements::record_service_request(std::uint64_t service)
 {
-    const bool is_new = !m_asked.contains(service);
-    m_asked[service] = m_time.now();
+    const bool is_new = !m_requested.contains(service);
+    m_requested[service] = m_time.now();
     if (!is_new)
         return;
     for (const auto& [name, row] : m_engines)
@@ -123,79 +124,80 @@
     }
 }
 
-void storage_places::note_asker(std::uint64_t asker,
-                                const placement_request& question)
+void storage_placements::record_requester(std::uint64_t asker,
+                                          const placement_request& question)
 {
     forget_call(question.m_call);
-    m_open[asker][question.m_call] = question.m_service;
-    m_askers[question.m_call] = asker;
+    m_open_calls[asker][question.m_call] = question.m_service;
+    m_requesters[question.m_call] = asker;
 }
 
-void storage_places::forget_call(std::uint64_t call)
+void storage_placements::forget_call(std::uint64_t call)
 {
-    const auto found = m_askers.find(call);
-    if (found == m_askers.end())
+    const auto found = m_requesters.find(call);
+    if (found == m_requesters.end())
         return;
-    const auto row = m_open.find(found->second);
-    m_askers.erase(found);
-    if (row == m_open.end())
+    const auto row = m_open_calls.find(found->second);
+    m_requesters.erase(found);
+    if (row == m_open_calls.end())
         return;
     row->second.erase(call);
     if (row->second.empty())
-        m_open.erase(row);
+        m_open_calls.erase(row);
 }
 
-void storage_places::note_gone(std::uint64_t asker)
+void storage_placements::release_connection(std::uint64_t asker)
 {
-    const auto found = m_open.find(asker);
-    if (found == m_open.end())
+    const auto found = m_open_calls.find(asker);
+    if (found == m_open_calls.end())
         return;
     const auto calls = std::move(found->second);
-    m_open.erase(found);
+    m_open_calls.erase(found);
     LOG(INFO) << "event=places_returned calls=" << calls.size();
     for (const auto& [call, service] : calls)
     {
-        m_askers.erase(call);
-        m_collectors.erase(call);
+        m_requesters.erase(call);
+        m_waiters.erase(call);
         // That its caller has gone says nothing of the engine.
         placement_report ended;
         ended.m_service = service;
         ended.m_call = call;
         ended.m_end = placement_end::whole;
-        m_places.report(ended, m_time.now());
+        m_placements.report(ended, m_time.now());
     }
-    answer_decided();
+    send_decisions();
 }
 
-void storage_places::ask(std::uint64_t asker, const placement_request& question,
-                         const turn_server::reply& reply)
+void storage_placements::handle_request(std::uint64_t asker,
+                                        const placement_request& question,
+                                        const turn_server::reply& reply)
 {
-    note_asked(question.m_service);
-    note_asker(asker, question);
+    record_service_request(question.m_service);
+    record_requester(asker, question);
     if (question.m_already_queued)
     {
-        collect(question, reply);
+        await_decision(question, reply);
         return;
     }
     auto located = question;
     located.m_region = region_of(m_zones, question.m_availability_zone);
-    auto answer = m_places.request_placement(located, m_time.now());
+    auto answer = m_placements.request_placement(located, m_time.now());
     if (!answer)
     {
         answer.emplace();
         answer->m_outcome = placement_outcome::waiting;
     }
-    ++m_answers.at(static_cast<std::size_t>(answer->m_outcome));
+    ++m_reply_counts.at(static_cast<std::size_t>(answer->m_outcome));
     if (answer->m_outcome == placement_outcome::no_room ||
         answer->m_outcome == placement_outcome::not_placing)
         forget_call(question.m_call);
     reply(*answer);
 }
 
-void storage_places::collect(const placement_request& question,
-                             const turn_server::reply& reply)
+void storage_placements::await_decision(const placement_request& question,
+                                        const turn_server::reply& reply)
 {
-    answer_decided();
+    send_decisions();
     const auto found = m_decided.find(question.m_call);
     if (found != m_decided.end())
     {
@@ -204,26 +206,26 @@
         return;
     }
     const milliseconds patience(question.m_queue_timeout_ms);
-    m_collectors[question.m_call] = {reply, m_time.now() + patience};
+    m_waiters[question.m_call] = {reply, m_time.now() + patience};
 }
 
-void storage_places::report(const placement_report& report)
+void storage_placements::handle_report(const placement_report& report)
 {
     forget_call(report.m_call);
-    m_places.report(report, m_time.now());
-    answer_decided();
+    m_placements.report(report, m_time.now());
+    send_decisions();
 }
 
-void storage_places::answer_decided()
+void storage_placements::send_decisions()
 {
-    for (const auto& row : m_places.take_decisions(m_time.now()))
+    for (const auto& row : m_placements.take_decisions(m_time.now()))
     {
-        ++m_answers.at(static_cast<std::size_t>(row.m_reply.m_outcome));
-        const auto found = m_collectors.find(row.m_call);
-        if (found != m_collectors.end())
+        ++m_reply_counts.at(static_cast<std::size_t>(row.m_reply.m_outcome));
+        const auto found = m_waiters.find(row.m_call);
+        if (found != m_waiters.end())
         {
             found->second.m_reply(row.m_reply);
-            m_collectors.erase(found);
+            m_waiters.erase(found);
             continue;
         }
         if (m_decided.size() >= most_decided)
@@ -232,23 +234,23 @@
     }
 }
 
-void storage_places::tick()
+void storage_placements::tick()
 {
-    answer_decided();
+    send_decisions();
     const auto now = m_time.now();
-    std::erase_if(m_collectors, [&](const auto& entry) {
-        return entry.second.m_until <= now;
+    std::erase_if(m_waiters, [&](const auto& entry) {
+        return entry.second.m_deadline <= now;
     });
 }
 
-void storage_places::write_metrics(std::string& out) const
+void storage_placements::write_metrics(std::string& out) const
 {
     for (const auto outcome :
          {placement_outcome::placed, placement_outcome::waiting,
           placement_outcome::no_room, placement_outcome::not_placing})
         write_metric(out, std::string("places_") + to_string(outcome),
-                     m_answers.at(static_cast<std::size_t>(outcome)));
-    m_places.write_metrics(out);
+                     m_reply_counts.at(static_cast<std::size_t>(outcome)));
+    m_placements.write_metrics(out);
 }
 
 } // namespace pepperturn
--- a/test/fleet/test_budget_calls.cpp
+++ b/test/fleet/test_budget_calls.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 // Budgets of programs whose callers bring their whole history: nothing of
 // theirs is kept but what they have spent.
-#include "support/fleet/proxy_world.hpp"
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/proxy_fixture.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 namespace {
 
@@ -12,13 +12,13 @@
 constexpr std::uint32_t event_tokens = 8;
 
 /// Storage VMs, and a proxy whose engines give eight tokens an event.
-class budget_world : public storage_world, public proxy_world
+class budget_world : public storage_fixture, public proxy_fixture
 {
 public:
-    budget_world() : proxy_world(storage_world::m_io, m_client)
+    budget_world() : proxy_fixture(storage_fixture::m_io, m_client)
     {
         start_three();
-        auto config = proxy_world::config(2);
+        auto config = proxy_fixture::config(2);
         config.m_services["svc"].m_engine =
             engine_profile{4, 100000, event_tokens};
         REQUIRE(m_proxy.apply_config(config));
@@ -39,7 +39,7 @@
         request.replace(request.find("Call: c1"), 8, "Call: " + id);
         connect();
         send(request);
-        CHECK(proxy_world::wait_for([&] {
+        CHECK(proxy_fixture::wait_for([&] {
             return has(m_received, "0\r\n\r\n") ||
                    (has(m_received, "HTTP/1.1 4") &&
                     has(m_received, "\r\n\r\n")) ||
--- a/test/fleet/test_disruptions.cpp
+++ b/test/fleet/test_disruptions.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 // What edge VMs that change, sleep or lose their connections do to turns:
 // none is lost, none counts twice.
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 /// Another edge VM of the fleet, in a zone of its own.
 struct second_edge
 {
-    second_edge(storage_world& fleet, const std::string& zone)
+    second_edge(storage_fixture& fleet, const std::string& zone)
         : m_links(fleet.m_io, fleet.m_time, "edge-2"),
           m_client(fleet.m_io, fleet.m_time, m_links, zone, 1)
     {
@@ -33,12 +33,12 @@
     cluster_state m_state;
 };
 
-begin_result begin_at(storage_world& fleet, second_edge& edge,
+begin_result begin_at(storage_fixture& fleet, second_edge& edge,
                       const std::string& id, const std::string& parent)
 {
     const auto result =
         run_task(fleet.m_io,
-                 edge.m_client.begin(storage_world::request(id, parent),
+                 edge.m_client.begin(storage_fixture::request(id, parent),
                                      fleet.m_time.now() + milliseconds(3000)));
     REQUIRE(result.has_value());
     return *result;
@@ -55,7 +55,7 @@
 
 TEST_CASE("a caller that moves to another zone finds its turns", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     REQUIRE(fleet.keep("b", "a"));
@@ -67,12 +67,12 @@
     }));
     const auto result = begin_at(fleet, far, "c", "b");
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
 TEST_CASE("an edge VM that wakes with old views learns the new ones", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     second_edge frozen(fleet, "vm-0");
@@ -90,21 +90,21 @@
             fleet.m_state.m_views.front().m_epoch);
     const auto result = begin_at(fleet, frozen, "b", "a");
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;");
     CHECK(frozen.m_state.m_views == fleet.m_state.m_views);
 }
 
 TEST_CASE("a turn that is kept again after a reset counts once", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     // Its acknowledgement was lost with the connection.
     REQUIRE(fleet.keep("a", ""));
-    const auto result = fleet.begin(storage_world::request("b", "a"));
+    const auto result = fleet.begin(storage_fixture::request("b", "a"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;");
     CHECK(committed(result, 30));
     // The begin was lost too, and is sent again.
-    CHECK(committed(fleet.begin(storage_world::request("b", "a")), 30));
+    CHECK(committed(fleet.begin(storage_fixture::request("b", "a")), 30));
 }
--- a/test/fleet/test_member_links.cpp
+++ b/test/fleet/test_member_links.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -54,12 +54,12 @@
         const auto answer =
             run_task(m_fleet.m_io,
                      m_links.request("vm-9", 0, fetch_message{"none"},
-                                     m_fleet.m_time.now() + usual_patience));
+                                     m_fleet.m_time.now() + default_timeout));
         REQUIRE(answer.has_value());
         REQUIRE(answer->has_value());
     }
 
-    storage_world m_fleet;
+    storage_fixture m_fleet;
     turn_log m_log;
     turn_store m_store;
     turn_server m_server;
--- a/test/fleet/test_places.cpp
+++ b/test/fleet/test_places.cpp
@@ -5,7 +5,7 @@
 
 #include "pepperturn/base/hash.hpp"
 
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 namespace {
 
@@ -15,7 +15,7 @@
 constexpr std::uint32_t from_tokens = 8192;
 
 /// One engine of two slots, and the storage VMs that hand out its places.
-class engine_fleet : public storage_world
+class engine_fleet : public storage_fixture
 {
 public:
     engine_fleet() : m_places(m_io, m_time, m_links, from_tokens)
--- a/test/fleet/test_proxy.cpp
+++ b/test/fleet/test_proxy.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/lonely_edge.hpp"
+#include "support/fleet/isolated_edge.hpp"
 
 namespace {
 
@@ -7,7 +7,7 @@
 using namespace pepperturn::test;
 using after = runner_step::after;
 
-using world = lonely_edge;
+using world = isolated_edge;
 
 } // namespace
 
--- a/test/fleet/test_proxy_workspaces.cpp
+++ b/test/fleet/test_proxy_workspaces.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 // Callers with keys, as a runner and they themselves see it.
-#include "support/fleet/lonely_edge.hpp"
+#include "support/fleet/isolated_edge.hpp"
 
 namespace {
 
@@ -8,7 +8,7 @@
 using namespace pepperturn::test;
 
 /// An edge VM whose callers have keys, and whose configuration has an age.
-class keyed_edge : public lonely_edge
+class keyed_edge : public isolated_edge
 {
 public:
     keyed_edge()
@@ -122,12 +122,12 @@
 TEST_CASE("where callers have no keys, what they send goes on",
           "[proxy][tenancy]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{whole_answer(200, "body")}});
     const auto got =
-        edge.ask(lonely_edge::post("/once/", "x",
-                                   "Authorization: basic abc\r\n"
-                                   "Pepperturn-Workspace: mine\r\n"),
+        edge.ask(isolated_edge::post("/once/", "x",
+                                     "Authorization: basic abc\r\n"
+                                     "Pepperturn-Workspace: mine\r\n"),
                  "\r\n\r\n");
     CHECK(has(got, "HTTP/1.1 200 "));
     const auto& sent = edge.m_first.requests().front();
--- a/test/fleet/test_reach.cpp
+++ b/test/fleet/test_reach.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/reach_world.hpp"
+#include "support/fleet/connectivity_fixture.hpp"
 
 #include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/cluster/relay_limits.hpp"
@@ -15,8 +15,8 @@
 
 constexpr std::size_t length_bytes = 4;
 
-void await_neighbours(reach_world& fleet, const reach_edge& edge,
-                      std::uint64_t count)
+void await_neighbours(connectivity_fixture& fleet,
+                      const partitionable_edge& edge, std::uint64_t count)
 {
     REQUIRE(
         fleet.wait([&] { return edge.metric("neighbours_known") == count; }));
@@ -25,7 +25,7 @@
 /// Makes storage VMs name \p who as a neighbour.
 struct announced
 {
-    announced(reach_world& fleet, const neighbour& who)
+    announced(connectivity_fixture& fleet, const neighbour& who)
         : m_links(fleet.m_io, fleet.m_time, who.m_name)
     {
         m_links.advertise_relay(who.m_address, who.m_availability_zone);
@@ -46,13 +46,13 @@
 };
 
 /// Two turns are kept, and a third goes on from both.
-void check_turns(reach_edge& edge)
+void check_turns(partitionable_edge& edge)
 {
     REQUIRE(edge.keep("a", ""));
     REQUIRE(edge.keep("b", "a"));
-    const auto result = edge.begin(storage_world::request("c", "b"));
+    const auto result = edge.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
     // Each of them counts once, however often it was sent.
     CHECK(result.m_reason == "committed=60 budget=1000");
 }
@@ -65,24 +65,24 @@
     struct row
     {
         const char* m_what;
-        std::function<void(reach_edge&)> m_cut;
+        std::function<void(partitionable_edge&)> m_cut;
     };
     const auto each = GENERATE(values<row>({
-        {"nothing passes", [](reach_edge& edge) { edge.cut(); }},
+        {"nothing passes", [](partitionable_edge& edge) { edge.partition(); }},
         {"questions are lost, beats come",
-         [](reach_edge& edge) { edge.cut(true, false); }},
+         [](partitionable_edge& edge) { edge.partition(true, false); }},
         {"questions arrive, answers are lost",
-         [](reach_edge& edge) { edge.cut(false, true); }},
+         [](partitionable_edge& edge) { edge.partition(false, true); }},
         {"connections break and none is made",
-         [](reach_edge& edge) {
+         [](partitionable_edge& edge) {
              for (const auto& [name, wire] : edge.m_wires)
                  wire->close();
          }},
     }));
     INFO(each.m_what);
-    reach_world fleet;
-    reach_edge helper(fleet, "edge-1", "y");
-    reach_edge edge(fleet, "edge-0", "z");
+    connectivity_fixture fleet;
+    partitionable_edge helper(fleet, "edge-1", "y");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 1);
     each.m_cut(edge);
     check_turns(edge);
@@ -97,40 +97,42 @@
 {
     // With the views of before it would be refused as stale until it is heard
     // again.
-    reach_world fleet;
-    reach_edge helper(fleet, "edge-1", "y");
-    reach_edge edge(fleet, "edge-0", "z");
+    connectivity_fixture fleet;
+    partitionable_edge helper(fleet, "edge-1", "y");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 1);
-    CHECK(edge.m_told.m_views.empty());
-    edge.cut();
+    CHECK(edge.m_received_state.m_views.empty());
+    edge.partition();
     check_turns(edge);
-    REQUIRE(fleet.wait(
-        [&] { return edge.m_told.m_views == fleet.m_state.m_views; }));
+    REQUIRE(fleet.wait([&] {
+        return edge.m_received_state.m_views == fleet.m_state.m_views;
+    }));
     cluster_state news;
     news.m_config_revision = 77;
     news.m_config = "{}";
-    helper.m_reach.tell_news(news);
-    CHECK(fleet.wait([&] { return edge.m_told.m_config_revision == 77; }));
+    helper.m_connectivity.send_updates(news);
+    CHECK(fleet.wait(
+        [&] { return edge.m_received_state.m_config_revision == 77; }));
     // Heard again, it is told by storage VMs alone.
     edge.heal();
     REQUIRE(fleet.wait([&] { return edge.all_direct(); }));
     const auto settled = fleet.m_time.now() + milliseconds(300);
     fleet.wait([&] { return fleet.m_time.now() >= settled; });
     news.m_config_revision = 78;
-    helper.m_reach.tell_news(news);
+    helper.m_connectivity.send_updates(news);
     const auto later = fleet.m_time.now() + milliseconds(200);
     fleet.wait([&] { return fleet.m_time.now() >= later; });
-    CHECK(edge.m_told.m_config_revision == 77);
+    CHECK(edge.m_received_state.m_config_revision == 77);
 }
 
 TEST_CASE("a VM that serves through a neighbour stays ready without callers",
           "[reach]")
 {
-    reach_world fleet;
-    reach_edge helper(fleet, "edge-1", "y");
-    reach_edge edge(fleet, "edge-0", "z");
+    connectivity_fixture fleet;
+    partitionable_edge helper(fleet, "edge-1", "y");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 1);
-    edge.cut();
+    edge.partition();
     // Longer than a silent member counts as heard.
     const auto end = fleet.m_time.now() + 2 * liveness_timeout;
     while (fleet.m_time.now() < end)
@@ -145,29 +147,29 @@
 
 TEST_CASE("without a relay address no neighbour is asked", "[reach]")
 {
-    reach_world fleet;
-    reach_edge helper(fleet, "edge-1", "y");
-    reach_edge edge(fleet, "edge-0", "z", false);
-    edge.cut();
+    connectivity_fixture fleet;
+    partitionable_edge helper(fleet, "edge-1", "y");
+    partitionable_edge edge(fleet, "edge-0", "z", false);
+    edge.partition();
     const auto refused =
-        edge.begin(storage_world::request("a", ""), milliseconds(1000));
+        edge.begin(storage_fixture::request("a", ""), milliseconds(1000));
     CHECK(refused.m_outcome == begin_outcome::unavailable);
     CHECK(helper.metric("relayed_asks") == 0);
 }
 
 TEST_CASE("a cut that heals: members are asked directly again", "[reach]")
 {
-    reach_world fleet;
-    reach_edge helper(fleet, "edge-1", "y");
-    reach_edge edge(fleet, "edge-0", "z");
+    connectivity_fixture fleet;
+    partitionable_edge helper(fleet, "edge-1", "y");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 1);
-    edge.cut();
+    edge.partition();
     REQUIRE(edge.keep("a", ""));
     edge.heal();
     REQUIRE(fleet.wait([&] { return edge.all_direct(); }));
     const auto relayed = edge.metric("asks_relayed");
     const auto direct = edge.metric("asks_direct");
-    CHECK(edge.begin(storage_world::request("b", "a")).m_outcome ==
+    CHECK(edge.begin(storage_fixture::request("b", "a")).m_outcome ==
           begin_outcome::granted);
     CHECK(edge.metric("asks_direct") > direct);
     CHECK(edge.metric("asks_relayed") == relayed);
@@ -175,13 +177,13 @@
 
 TEST_CASE("a neighbour that fails between question and answer", "[reach]")
 {
-    using handler = fake_neighbour::handler;
+    using handler = fake_relay_peer::handler;
     struct row
     {
         const char* m_what;
-        std::function<handler(reach_world&)> m_make;
+        std::function<handler(connectivity_fixture&)> m_make;
     };
-    const auto pass_on = [](reach_world& fleet, const frame& value,
+    const auto pass_on = [](connectivity_fixture& fleet, const frame& value,
                             reply_handler done) {
         const auto& asked = std::get<relayed_message>(value.m_body);
         std::string reason;
@@ -192,16 +194,16 @@
     };
     const auto each = GENERATE_COPY(values<row>({
         {"it is silent",
-         [](reach_world&) -> handler {
+         [](connectivity_fixture&) -> handler {
              return [](const auto&, const frame&) {};
          }},
         {"it breaks off before it asks",
-         [](reach_world&) -> handler {
+         [](connectivity_fixture&) -> handler {
              return
                  [](const auto& link, const frame&) { link->close("killed"); };
          }},
         {"it breaks off once the member has done it",
-         [pass_on](reach_world& fleet) -> handler {
+         [pass_on](connectivity_fixture& fleet) -> handler {
              return [pass_on, &fleet](const auto& link, const frame& value) {
                  pass_on(fleet, value, [link](const std::optional<frame>&) {
                      link->close("killed");
@@ -209,13 +211,13 @@
              };
          }},
         {"it passes questions on and answers nothing",
-         [pass_on](reach_world& fleet) -> handler {
+         [pass_on](connectivity_fixture& fleet) -> handler {
              return [pass_on, &fleet](const auto&, const frame& value) {
                  pass_on(fleet, value, [](const std::optional<frame>&) {});
              };
          }},
         {"it refuses some and says nothing to others",
-         [](reach_world&) -> handler {
+         [](connectivity_fixture&) -> handler {
              return [](const auto& link, const frame& value) {
                  const auto& asked = std::get<relayed_message>(value.m_body);
                  if (asked.m_member == "vm-1")
@@ -224,7 +226,7 @@
              };
          }},
         {"it answers with what is no frame",
-         [](reach_world&) -> handler {
+         [](connectivity_fixture&) -> handler {
              return [](const auto& link, const frame& value) {
                  const auto& asked = std::get<relayed_message>(value.m_body);
                  link->send({value.m_call, 0, frame_status::ok,
@@ -233,29 +235,29 @@
          }},
     }));
     INFO(each.m_what);
-    reach_world fleet;
-    fake_neighbour fake(fleet.m_io, each.m_make(fleet));
+    connectivity_fixture fleet;
+    fake_relay_peer fake(fleet.m_io, each.m_make(fleet));
     // In the asker's zone, so that it is asked first.
     const announced presence(fleet, fake.who("edge-2", "z"));
-    reach_edge helper(fleet, "edge-1", "y");
-    reach_edge edge(fleet, "edge-0", "z");
+    partitionable_edge helper(fleet, "edge-1", "y");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 2);
-    edge.cut();
+    edge.partition();
     check_turns(edge);
-    CHECK(fake.m_asked > 0);
+    CHECK(fake.m_request_count > 0);
     CHECK(helper.metric("relayed_asks") > 0);
 }
 
 TEST_CASE("two VMs that are both cut refuse at once and ask nobody in circles",
           "[reach]")
 {
-    reach_world fleet;
-    reach_edge first(fleet, "edge-0", "z");
-    reach_edge second(fleet, "edge-1", "z");
+    connectivity_fixture fleet;
+    partitionable_edge first(fleet, "edge-0", "z");
+    partitionable_edge second(fleet, "edge-1", "z");
     await_neighbours(fleet, first, 1);
     await_neighbours(fleet, second, 1);
-    first.cut();
-    second.cut();
+    first.partition();
+    second.partition();
     // Until each knows that it hears no member itself.
     REQUIRE(fleet.wait([&] {
         return !first.m_links.reachable_directly("vm-0") &&
@@ -264,10 +266,10 @@
     const auto relayed =
         first.metric("relayed_asks") + second.metric("relayed_asks");
     const auto asked = fleet.m_time.now();
-    const auto result = first.begin(storage_world::request("a", ""));
+    const auto result = first.begin(storage_fixture::request("a", ""));
     CHECK(result.m_outcome == begin_outcome::unavailable);
     // Far below the patience of a caller.
-    CHECK(fleet.m_time.now() - asked < usual_patience / 4);
+    CHECK(fleet.m_time.now() - asked < default_timeout / 4);
     CHECK(first.metric("relayed_asks") + second.metric("relayed_asks") ==
           relayed);
     // An owner that nobody reaches grants nothing.
@@ -283,13 +285,13 @@
 
 TEST_CASE("a zone that is cut as a whole goes through another", "[reach]")
 {
-    reach_world fleet;
-    reach_edge near(fleet, "edge-1", "z");
-    reach_edge far(fleet, "edge-2", "y");
-    reach_edge edge(fleet, "edge-0", "z");
+    connectivity_fixture fleet;
+    partitionable_edge near(fleet, "edge-1", "z");
+    partitionable_edge far(fleet, "edge-2", "y");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 2);
-    near.cut();
-    edge.cut();
+    near.partition();
+    edge.partition();
     check_turns(edge);
     CHECK(far.metric("relayed_asks") > 0);
 }
@@ -433,9 +435,9 @@
     // The neighbour holds the answer back; the age counts from when the first
     // asker asked.
     static constexpr milliseconds held{60};
-    reach_world fleet;
+    connectivity_fixture fleet;
     fleet.m_store.put("op/config", R"({"version":4})");
-    fake_neighbour fake(fleet.m_io, [&](const auto& link, const frame& value) {
+    fake_relay_peer fake(fleet.m_io, [&](const auto& link, const frame& value) {
         const auto& asked = std::get<relayed_message>(value.m_body);
         freshness_message told;
         told.m_config_revision = 4;
@@ -452,9 +454,9 @@
                                         inner.substr(length_bytes)}}));
     });
     const announced presence(fleet, fake.who("edge-2", "z"));
-    reach_edge edge(fleet, "edge-0", "z");
+    partitionable_edge edge(fleet, "edge-0", "z");
     await_neighbours(fleet, edge, 1);
-    edge.cut();
+    edge.partition();
     freshness_poller keeper(fleet.m_io, fleet.m_time, edge.m_links,
                             {[] { return std::vector<std::string>{"vm-0"}; },
                              [] { return std::uint64_t{4}; },
@@ -479,7 +481,8 @@
     fleet_settings settings;
     settings.m_name = "edge";
     settings.m_relay_address = "here";
-    edge_reach reach(io, time, settings, links, [] { return cluster_state{}; });
+    edge_connectivity reach(io, time, settings, links,
+                            [] { return cluster_state{}; });
     std::string reason;
     CHECK_FALSE(reach.start(reason));
     CHECK(reason.find("[listen] relay: ") == 0);
--- a/test/fleet/test_readers.cpp
+++ b/test/fleet/test_readers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/lonely_edge.hpp"
+#include "support/fleet/isolated_edge.hpp"
 #include "support/fleet/slow_caller.hpp"
 
 #include <fcntl.h>
@@ -17,7 +17,7 @@
 constexpr std::uint64_t megabyte = 1U << 20U;
 
 /// An edge VM with callers that read at will.
-class readers_world : public lonely_edge
+class readers_world : public isolated_edge
 {
 public:
     /// \param memory_mb 0: not told
--- a/test/fleet/test_replica_sets.cpp
+++ b/test/fleet/test_replica_sets.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 // Storage VMs in several replica sets, as real nodes on loopback.
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -17,7 +17,7 @@
 }
 
 /// Six VMs that may lose one disk: two sets of three.
-class two_sets : public storage_world
+class two_sets : public storage_fixture
 {
 public:
     two_sets()
@@ -61,7 +61,7 @@
                                           "out-" + id + ';', "run",
                                           key_of(program), key_of(id), 30}};
         return run_task(m_io,
-                        m_client.keep(entry, m_time.now() + usual_patience))
+                        m_client.keep(entry, m_time.now() + default_timeout))
             .value_or(false);
     }
     /// Of the VMs in a set, those that hold the turn.
@@ -74,7 +74,7 @@
             const auto answer =
                 run_task(m_io, m_links.request(row.m_name, view.m_epoch,
                                                fetch_message{turn},
-                                               m_time.now() + usual_patience));
+                                               m_time.now() + default_timeout));
             REQUIRE(answer.has_value());
             REQUIRE(answer->has_value());
             const auto* fetched =
@@ -143,12 +143,12 @@
     REQUIRE(fleet.keep_in(earlier, "b", "a"));
     const auto first = fleet.begin_in(later, "c", "b");
     CHECK(first.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(first) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(first) == "in-a;out-a;in-b;out-b;");
     REQUIRE(fleet.keep_in(later, "c", "b"));
     // Now a part of the chain lies in each set.
     const auto second = fleet.begin_in(later, "d", "c");
     CHECK(second.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(second) ==
+    CHECK(storage_fixture::text_of(second) ==
           "in-a;out-a;in-b;out-b;in-c;out-c;");
 }
 
@@ -183,7 +183,7 @@
 {
     // It looked for a set to join first, found none, and never said that it
     // was empty.
-    storage_world fleet;
+    storage_fixture fleet;
     for (int i = 0; i < 5; ++i)
         fleet.add(vm_name(i));
     REQUIRE(fleet.wait_for("vm-0Fvm-1Fvm-2Fvm-3Fvm-4F"));
--- a/test/fleet/test_resumed_streams.cpp
+++ b/test/fleet/test_resumed_streams.cpp
@@ -2,7 +2,7 @@
 // Streams that go on at another runner.
 #include "pepperturn/forward/stream_relay.hpp"
 
-#include "support/fleet/lonely_edge.hpp"
+#include "support/fleet/isolated_edge.hpp"
 
 namespace {
 
@@ -41,11 +41,11 @@
     for (const auto& each : samples)
     {
         INFO(each.m_name);
-        lonely_edge edge;
+        isolated_edge edge;
         edge.m_first.script({each.m_first});
         edge.m_second.script({{event_answer({"c", "d"}, true, 3)}});
         const auto got =
-            edge.ask(proxy_world::post("/resume/", "x"), whole_end);
+            edge.ask(proxy_fixture::post("/resume/", "x"), whole_end);
         for (const char* event : {"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n",
                                   "id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"})
             CHECK(count(got, event) == 1);
@@ -63,10 +63,10 @@
 TEST_CASE("a first event that does not come is asked for elsewhere",
           "[proxy][resume]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{""}});
     edge.m_second.script({{event_answer({"a"})}});
-    const auto got = edge.ask(proxy_world::post("/resume/", "x"), whole_end);
+    const auto got = edge.ask(proxy_fixture::post("/resume/", "x"), whole_end);
     CHECK(has(got, "data: a"));
     REQUIRE(edge.m_second.requests().size() == 1);
     CHECK_FALSE(has(edge.m_second.requests().front(), "Last-Event-Id"));
@@ -82,10 +82,10 @@
         {event_answer({"b"}, false, 2), true, after::close},
         {"", true, after::reset},
     }));
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{event_answer({"a"}, false), true, after::close}});
     edge.m_second.script({second});
-    const auto got = edge.ask(proxy_world::post("/resume/", "x"), "never");
+    const auto got = edge.ask(proxy_fixture::post("/resume/", "x"), "never");
     CHECK(count(got, "data: a") == 1);
     CHECK(count(got, "HTTP/1.1 ") == 1);
     CHECK_FALSE(has(got, whole_end));
@@ -97,14 +97,15 @@
 TEST_CASE("a caller that takes a stream up again is passed on",
           "[proxy][resume]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     const bool cut_at_once = GENERATE(true, false);
     const runner_step cut{cut_at_once ? "" : event_answer({"h"}, false, 8),
                           true, cut_at_once ? after::reset : after::close};
     edge.m_first.script({cut});
     edge.m_second.script({{event_answer({"i"}, true, cut_at_once ? 8 : 9)}});
-    const auto got = edge.ask(
-        proxy_world::post("/resume/", "x", "Last-Event-Id: 7\r\n"), whole_end);
+    const auto got =
+        edge.ask(proxy_fixture::post("/resume/", "x", "Last-Event-Id: 7\r\n"),
+                 whole_end);
     CHECK(has(got, "data: i"));
     CHECK(count(edge.m_first.requests().front(), "Last-Event-Id: 7\r\n") == 1);
     const auto& next = edge.m_second.requests().front();
@@ -114,12 +115,12 @@
 
 TEST_CASE("an event's id that is no number is refused", "[proxy][resume]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{event_answer({"a"})}});
     const auto* id = GENERATE("-1", "first", "", "99999999999999999999");
     const auto got = edge.ask(
-        proxy_world::post("/resume/", "x",
-                          std::string("Last-Event-Id: ") + id + "\r\n"),
+        proxy_fixture::post("/resume/", "x",
+                            std::string("Last-Event-Id: ") + id + "\r\n"),
         "\r\n\r\n");
     CHECK(has(got, "HTTP/1.1 400 "));
     CHECK(edge.m_first.requests().empty());
--- a/test/fleet/test_return.cpp
+++ b/test/fleet/test_return.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("an edge VM that starts before its seeds finds others", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.m_store.put("op/config",
                       R"({"version":4,"routes":[],"services":[]})");
     fleet.start_three();
@@ -26,7 +26,7 @@
 
 TEST_CASE("a storage VM that starts answers before it reads routes", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.m_store.put("op/config",
                       R"({"version":4,"routes":[],"services":[]})");
     fleet.start_three();
--- a/test/fleet/test_second_tries.cpp
+++ b/test/fleet/test_second_tries.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/lonely_edge.hpp"
+#include "support/fleet/isolated_edge.hpp"
 
 namespace {
 
 using namespace pepperturn;
 using namespace pepperturn::test;
-using world = lonely_edge;
+using world = isolated_edge;
 
 const runner_step good{whole_answer(200, "fine")};
 const runner_step hangs{};
--- a/test/fleet/test_start_of_all.cpp
+++ b/test/fleet/test_start_of_all.cpp
@@ -25,7 +25,7 @@
           "[fleet]")
 {
     const std::size_t runners = GENERATE(300, 1200);
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     fleet.m_store.put("op/config",
                       R"({"version":4,"routes":[],"services":[]})");
--- a/test/fleet/test_storage_vms.cpp
+++ b/test/fleet/test_storage_vms.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <array>
 #include <boost/asio/write.hpp>
@@ -15,13 +15,13 @@
 TEST_CASE("three VMs that start at once all become full", "[fleet]")
 {
     // Two that joined together once waited for each other for ever.
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
 }
 
 TEST_CASE("a VM that is to be emptied hands everything over first", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     REQUIRE(fleet.keep("b", "a"));
@@ -31,14 +31,14 @@
                std::string::npos;
     }));
     REQUIRE(fleet.wait_for("vm-0Fvm-2F"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
 TEST_CASE("a storage VM tells its figures", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     tcp::socket reader(fleet.m_io);
@@ -70,7 +70,7 @@
 
 TEST_CASE("figures give way to frames on the same port", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     storage_vm vm(fleet.m_io, fleet.m_time, fleet.m_store.address(), "vm-0",
                   fleet.m_folder + "/vm-0", true, false);
     REQUIRE(fleet.wait_for("vm-0F"));
@@ -83,7 +83,7 @@
 TEST_CASE("of three VMs one is emptied and one is lost: turns go on", "[fleet]")
 {
     // The view once had no way out of this, also with another VM added.
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     fleet.m_store.put("op/retire/vm-1", R"({"duration_s":10})");
@@ -97,15 +97,15 @@
         run_until(fleet.m_io, [&] { return fleet.m_links.connected("vm-3"); }));
     CHECK(fleet.keep("b", "a"));
     REQUIRE(fleet.wait_for("vm-0Fvm-3F"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
 TEST_CASE("the last VM acknowledges nothing alone, and goes on with the other",
           "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     fleet.m_store.put("op/retire/vm-1", R"({"duration_s":10})");
     REQUIRE(fleet.wait_for("vm-0Fvm-2F"));
@@ -116,7 +116,7 @@
     REQUIRE(fleet.wait_for("vm-0Fvm-2X"));
     // One copy would be lost with one disk.
     const auto refused =
-        fleet.begin(storage_world::request("b", "a"), milliseconds(300));
+        fleet.begin(storage_fixture::request("b", "a"), milliseconds(300));
     CHECK(refused.m_outcome == begin_outcome::unavailable);
     fleet.m_stopped.push_back(std::move(fleet.m_vms["vm-2"]));
     fleet.add("vm-2", false);
@@ -124,16 +124,16 @@
     REQUIRE(
         run_until(fleet.m_io, [&] { return fleet.m_links.connected("vm-2"); }));
     REQUIRE(fleet.keep("b", "a"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
     CHECK(fleet.m_store.value_of("status/retire/vm-0").find("completed") ==
           std::string::npos);
 }
 
 TEST_CASE("an added VM copies what was kept before it came", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     for (int i = 0; i < 40; ++i)
         REQUIRE(fleet.keep("t" + std::to_string(i),
@@ -160,7 +160,7 @@
 
 TEST_CASE("the world is remembered over a restart", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.m_store.put("op/config", R"({"version":4})");
     fleet.m_store.put("servers/i-1", R"({"service":"a","seq":1})");
     fleet.start_three();
@@ -191,7 +191,7 @@
 
 TEST_CASE("a VM tells what it knows before its disk is loaded", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     turn_log log(fleet.m_folder + "/loading", 1U << 20U);
     turn_store store(log);
     std::string reason;
@@ -218,7 +218,7 @@
     const auto ask = [&] {
         const auto answer = run_task(
             fleet.m_io, newcomer.request("vm-9", 5, fetch_message{"a"},
-                                         fleet.m_time.now() + usual_patience));
+                                         fleet.m_time.now() + default_timeout));
         REQUIRE(answer.has_value());
         REQUIRE(answer->has_value());
         return (*answer)->m_status;
--- a/test/fleet/test_turns.cpp
+++ b/test/fleet/test_turns.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -12,55 +12,56 @@
 
 TEST_CASE("a turn goes on from what was kept", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
-    CHECK(fleet.begin(storage_world::request("a", "")).m_outcome ==
+    CHECK(fleet.begin(storage_fixture::request("a", "")).m_outcome ==
           begin_outcome::granted);
     REQUIRE(fleet.keep("a", ""));
     REQUIRE(fleet.keep("b", "a"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
-    CHECK(fleet.begin(storage_world::request("d", "nobody")).m_outcome ==
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(fleet.begin(storage_fixture::request("d", "nobody")).m_outcome ==
           begin_outcome::no_such_turn);
 }
 
 TEST_CASE("budgets hold over all storage VMs", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     // Each holds 50 until it is settled.
-    CHECK(fleet.begin(storage_world::request("a", "", 120)).m_outcome ==
+    CHECK(fleet.begin(storage_fixture::request("a", "", 120)).m_outcome ==
           begin_outcome::granted);
-    CHECK(fleet.begin(storage_world::request("b", "", 120)).m_outcome ==
+    CHECK(fleet.begin(storage_fixture::request("b", "", 120)).m_outcome ==
           begin_outcome::granted);
-    const auto third = storage_world::request("c", "", 120);
+    const auto third = storage_fixture::request("c", "", 120);
     CHECK(fleet.begin(third).m_outcome == begin_outcome::over_budget);
     fleet.m_client.settle(third, 0);
-    fleet.m_client.settle(storage_world::request("b", ""), 10);
-    CHECK(fleet.begin(storage_world::request("d", "", 120)).m_outcome ==
+    fleet.m_client.settle(storage_fixture::request("b", ""), 10);
+    CHECK(fleet.begin(storage_fixture::request("d", "", 120)).m_outcome ==
           begin_outcome::granted);
 }
 
 TEST_CASE("one storage VM away: served, but not certain of absence", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     // Its listener is gone, its disk is not.
     fleet.lose("vm-0");
     REQUIRE_FALSE(fleet.m_links.connected("vm-0"));
-    const auto result = fleet.begin(storage_world::request("b", "a"));
+    const auto result = fleet.begin(storage_fixture::request("b", "a"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;");
     CHECK(fleet.keep("b", "a"));
-    CHECK(fleet.begin(storage_world::request("c", "nobody"), milliseconds(400))
-              .m_outcome == begin_outcome::unavailable);
+    CHECK(
+        fleet.begin(storage_fixture::request("c", "nobody"), milliseconds(400))
+            .m_outcome == begin_outcome::unavailable);
 }
 
 TEST_CASE("a VM that no storage VM answers says so soon", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     // Nobody is there any more.
@@ -69,7 +70,7 @@
     fleet.m_io.run_for(milliseconds(400));
     fleet.m_io.restart();
     const auto asked = fleet.m_time.now();
-    const auto result = fleet.begin(storage_world::request("b", "a"));
+    const auto result = fleet.begin(storage_fixture::request("b", "a"));
     CHECK(result.m_outcome == begin_outcome::unavailable);
     CHECK_FALSE(fleet.keep("b", "a"));
     CHECK(fleet.m_time.now() - asked < milliseconds(4000));
@@ -79,7 +80,7 @@
 {
     // The nearest VM lacks a part in the middle, which is fetched from
     // another; that once freed memory twice.
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.add("vm-0");
     fleet.add("vm-1");
     REQUIRE(fleet.wait_for("vm-0Fvm-1F"));
@@ -107,22 +108,22 @@
         REQUIRE(run_until(fleet.m_io, [&] { return done; }));
     }
     REQUIRE(fleet.keep("z", std::string(60, 'y')));
-    const auto result = fleet.begin(storage_world::request("next", "z"));
+    const auto result = fleet.begin(storage_fixture::request("next", "z"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) ==
+    CHECK(storage_fixture::text_of(result) ==
           "in-" + long_id + ";out-" + long_id + ";in-y;out-y;in-z;out-z;");
 }
 
 TEST_CASE("a restarted VM still has what it acknowledged", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     fleet.restart("vm-0");
     REQUIRE(
         run_until(fleet.m_io, [&] { return fleet.m_links.connected("vm-0"); }));
     CHECK(fleet.wait_for("vm-0Fvm-1Fvm-2F"));
-    const auto result = fleet.begin(storage_world::request("b", "a"));
+    const auto result = fleet.begin(storage_fixture::request("b", "a"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;");
 }
--- a/test/fleet/test_workspace_limits.cpp
+++ b/test/fleet/test_workspace_limits.cpp
@@ -4,7 +4,7 @@
 #include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/forward/quota_client.hpp"
 
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 namespace {
 
@@ -19,7 +19,7 @@
 constexpr std::uint32_t short_revoke_ms = 2500;
 
 /// A fleet whose callers have keys.
-class keyed_fleet : public storage_world
+class keyed_fleet : public storage_fixture
 {
 public:
     keyed_fleet()
@@ -80,7 +80,7 @@
     /// Asks until the answer is \p wanted.
     bool take_until(quota_outcome wanted)
     {
-        const auto end = m_time.now() + usual_patience;
+        const auto end = m_time.now() + default_timeout;
         while (m_time.now() < end)
         {
             if (take().m_outcome == wanted)
--- a/test/platform/test_cluster_source.cpp
+++ b/test/platform/test_cluster_source.cpp
@@ -203,7 +203,7 @@
     world.settle(milliseconds(1500));
     world.m_store.remove("servers/i-1");
     if (served_others)
-        world.m_source.note_heard_elsewhere(world.m_time.now());
+        world.m_source.record_remote_contact(world.m_time.now());
     world.m_store.set_down(false);
     const auto returned = world.m_time.now();
     REQUIRE(world.wait_for_runner("i-1", ""));
@@ -345,11 +345,11 @@
     kept.m_retirements = {{"vm-1", 1, false}};
     merge_state(world.m_state, kept);
     if (!told_late)
-        world.m_source.learn(kept);
+        world.m_source.merge_remote_state(kept);
     world.m_source.start();
     REQUIRE(run_until(world.m_io, [&] { return world.m_source.synced(); }));
     if (told_late)
-        world.m_source.learn(kept);
+        world.m_source.merge_remote_state(kept);
     CHECK(run_until(world.m_io, [&] {
         return evacuated_zones(world.m_state).empty() &&
                !is_retired(world.m_state, "vm-1");
@@ -363,7 +363,7 @@
     world.m_store.put("servers/i-1", entry("ready", 1));
     world.m_store.put("pepperturn/sets/0",
                       R"({"set":0,"sets":1,"members":[]})");
-    world.m_source.await_founding();
+    world.m_source.await_bootstrap();
     world.m_source.start();
     REQUIRE(world.wait_for_runner("i-1", entry("ready", 1)));
     world.m_source.pause();
--- a/test/support/fleet/reach_world.hpp
+++ b/test/support/fleet/connectivity_fixture.hpp
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Edge VMs beside the storage VMs of a \ref storage_world: some relay, one
+/// Edge VMs beside the storage VMs of a \ref storage_fixture: some relay, one
 /// has links that may be cut, and some neighbours only pretend.
 #pragma once
 
-#include "pepperturn/fleet/edge_reach.hpp"
+#include "pepperturn/fleet/edge_connectivity.hpp"
 
-#include "support/fleet/cut_wire.hpp"
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/partitionable_link.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 namespace pepperturn::test {
 
 /// Three storage VMs that send beats.
-struct reach_world : storage_world
+struct connectivity_fixture : storage_fixture
 {
-    reach_world()
+    connectivity_fixture()
     {
         start_three();
         every(milliseconds(100), [this] {
@@ -24,7 +24,8 @@
     }
     void every(milliseconds span, std::function<void()> work)
     {
-        spawn(m_io, "reach_world.tick", repeat(m_io, span, std::move(work)));
+        spawn(m_io, "connectivity_fixture.tick",
+              repeat(m_io, span, std::move(work)));
     }
     static task<> repeat(asio::io_context& io, milliseconds span,
                          std::function<void()> work)
@@ -42,44 +43,46 @@
 };
 
 /// An edge VM's links, relay and turn client; each link is a wire of its own.
-class reach_edge
+class partitionable_edge
 {
 public:
-    reach_edge(reach_world& fleet, const std::string& name,
-               const std::string& availability_zone, bool relays = true)
+    partitionable_edge(connectivity_fixture& fleet, const std::string& name,
+                       const std::string& availability_zone, bool relays = true)
         : m_fleet(fleet), m_settings(settings(fleet, name, availability_zone)),
           m_links(fleet.m_io, fleet.m_time, name),
-          m_reach(fleet.m_io, fleet.m_time, m_settings, m_links,
-                  [&fleet] { return fleet.m_state; }),
+          m_connectivity(fleet.m_io, fleet.m_time, m_settings, m_links,
+                         [&fleet] { return fleet.m_state; }),
           m_client(fleet.m_io, fleet.m_time, m_links, "vm-0", 1)
     {
         if (!relays)
             m_settings.m_relay_address.clear();
-        m_reach.on_state(
-            [this](const cluster_state& news) { merge_state(m_told, news); });
+        m_connectivity.on_state([this](const cluster_state& news) {
+            merge_state(m_received_state, news);
+        });
         std::string reason;
         INFO(reason);
-        REQUIRE(m_reach.start(reason));
+        REQUIRE(m_connectivity.start(reason));
         auto members = members_of(fleet.m_state.m_views);
         for (auto& row : members)
         {
             const auto port = fleet.m_vms.at(row.m_name)->m_port;
-            m_wires[row.m_name] = std::make_unique<cut_wire>(fleet.m_io, port);
+            m_wires[row.m_name] =
+                std::make_unique<partitionable_link>(fleet.m_io, port);
             row.m_address = m_wires[row.m_name]->address();
         }
         m_links.set_members(members);
-        m_reach.follow(members);
+        m_connectivity.set_members(members);
         m_client.follow(fleet.m_state.m_views);
         REQUIRE(fleet.wait([&] { return all_direct(); }));
-        fleet.every(milliseconds(50), [this] { m_reach.tick(); });
+        fleet.every(milliseconds(50), [this] { m_connectivity.tick(); });
     }
-    ~reach_edge()
+    ~partitionable_edge()
     {
-        m_reach.stop_relaying();
+        m_connectivity.stop_relaying();
         m_links.stop();
     }
-    reach_edge(const reach_edge&) = delete;
-    reach_edge& operator=(const reach_edge&) = delete;
+    partitionable_edge(const partitionable_edge&) = delete;
+    partitionable_edge& operator=(const partitionable_edge&) = delete;
 
     [[nodiscard]] bool all_direct() const
     {
@@ -88,14 +91,14 @@
                                return m_links.reachable_directly(row.first);
                            });
     }
-    void cut(bool forth = true, bool back = true)
+    void partition(bool forth = true, bool back = true)
     {
         for (const auto& [name, wire] : m_wires)
-            wire->set_cut(forth, back);
+            wire->set_partitioned(forth, back);
     }
     void heal()
     {
-        cut(false, false);
+        partition(false, false);
     }
     [[nodiscard]] neighbour who() const
     {
@@ -105,13 +108,13 @@
     [[nodiscard]] std::uint64_t metric(const std::string& name) const
     {
         std::string text = "\n";
-        m_reach.write_metrics(text);
+        m_connectivity.write_metrics(text);
         const auto found = text.find('\n' + name + ' ');
         REQUIRE(found != std::string::npos);
         return std::stoull(text.substr(found + name.size() + 2));
     }
     begin_result begin(const begin_request& what,
-                       milliseconds patience = usual_patience)
+                       milliseconds patience = default_timeout)
     {
         auto result =
             run_task(m_fleet.m_io,
@@ -127,21 +130,22 @@
                                           key_of("program"), key_of(id), 30}};
         return run_task(
                    m_fleet.m_io,
-                   m_client.keep(entry, m_fleet.m_time.now() + usual_patience))
+                   m_client.keep(entry, m_fleet.m_time.now() + default_timeout))
             .value_or(false);
     }
 
-    reach_world& m_fleet;
+    connectivity_fixture& m_fleet;
     fleet_settings m_settings;
-    std::map<std::string, std::unique_ptr<cut_wire>> m_wires;
+    std::map<std::string, std::unique_ptr<partitionable_link>> m_wires;
     member_links m_links;
-    edge_reach m_reach;
+    edge_connectivity m_connectivity;
     turn_client m_client;
     /// What neighbours have told of the world.
-    cluster_state m_told;
+    cluster_state m_received_state;
 
 private:
-    static fleet_settings settings(reach_world& fleet, const std::string& name,
+    static fleet_settings settings(connectivity_fixture& fleet,
+                                   const std::string& name,
                                    const std::string& availability_zone)
     {
         fleet_settings out;
@@ -154,19 +158,19 @@
 };
 
 /// A neighbour that takes questions and does with them what a test says.
-class fake_neighbour
+class fake_relay_peer
 {
 public:
     using handler =
         std::function<void(const std::shared_ptr<frame_link>&, const frame&)>;
 
-    fake_neighbour(asio::io_context& io, handler handle)
+    fake_relay_peer(asio::io_context& io, handler handle)
         : m_take(std::move(handle)), m_acceptor(io), m_port(free_port(io))
     {
         std::string reason;
         REQUIRE(open_listener(
             m_acceptor, {asio::ip::make_address("127.0.0.1"), m_port}, reason));
-        spawn(io, "fake_neighbour.accept",
+        spawn(io, "fake_relay_peer.accept",
               accept_all(m_acceptor, [this, &io](tcp::socket socket) {
                   auto link =
                       std::make_shared<frame_link>(io, std::move(socket));
@@ -179,27 +183,27 @@
                       [](const std::string&) {});
               }));
     }
-    ~fake_neighbour()
+    ~fake_relay_peer()
     {
         error_code ignored;
         m_acceptor.close(ignored);
         for (const auto& link : m_links)
             link->close("test ends");
     }
-    fake_neighbour(const fake_neighbour&) = delete;
-    fake_neighbour& operator=(const fake_neighbour&) = delete;
+    fake_relay_peer(const fake_relay_peer&) = delete;
+    fake_relay_peer& operator=(const fake_relay_peer&) = delete;
 
     [[nodiscard]] neighbour who(const std::string& name,
                                 const std::string& zone) const
     {
         return {name, "127.0.0.1:" + std::to_string(m_port), zone};
     }
-    int m_asked = 0;
+    int m_request_count = 0;
 
 private:
     void take(const std::shared_ptr<frame_link>& link, const frame& value)
     {
-        ++m_asked;
+        ++m_request_count;
         m_take(link, value);
     }
 
--- a/test/support/fleet/edge_vm.hpp
+++ b/test/support/fleet/edge_vm.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// An edge VM's process beside the storage VMs of a \ref storage_world.
+/// An edge VM's process beside the storage VMs of a \ref storage_fixture.
 #pragma once
 
 #include "pepperturn/fleet/edge_node.hpp"
 
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <array>
 #include <boost/asio/write.hpp>
@@ -16,7 +16,7 @@
 {
     /// \param seeds addresses of storage VMs; those that do not answer are down
     /// \param kept_links storage VMs beyond which the fleet counts as large
-    edge_vm(storage_world& fleet, const pepperturn::clock& time,
+    edge_vm(storage_fixture& fleet, const pepperturn::clock& time,
             std::vector<std::string> seeds,
             std::uint32_t kept_links = fleet_settings{}.m_kept_links)
         : m_fleet(fleet), m_source(fleet.m_io, time, fleet.m_store.address())
@@ -90,7 +90,7 @@
                    : std::stoull(text.substr(at + name.size() + 1));
     }
 
-    storage_world& m_fleet;
+    storage_fixture& m_fleet;
     platform::cluster_source m_source;
     std::unique_ptr<edge_node> m_node;
     std::string m_ready;
--- a/test/support/fleet/lonely_edge.hpp
+++ b/test/support/fleet/isolated_edge.hpp
@@ -3,13 +3,13 @@
 /// A proxy that has no storage VM.
 #pragma once
 
-#include "support/fleet/proxy_world.hpp"
+#include "support/fleet/proxy_fixture.hpp"
 
 namespace pepperturn::test {
 
 namespace detail {
 
-struct lonely_links
+struct isolated_links
 {
     asio::io_context m_own_io{1};
     system_clock m_own_time;
@@ -19,10 +19,10 @@
 
 } // namespace detail
 
-class lonely_edge : private detail::lonely_links, public proxy_world
+class isolated_edge : private detail::isolated_links, public proxy_fixture
 {
 public:
-    lonely_edge() : proxy_world(m_own_io, m_own_turns) {}
+    isolated_edge() : proxy_fixture(m_own_io, m_own_turns) {}
 
     /// Cold runners bear \p per_s calls, and nobody is there to count them.
     void limit_cold(double per_s)
--- a/test/support/fleet/cut_wire.hpp
+++ b/test/support/fleet/partitionable_link.hpp
@@ -13,28 +13,28 @@
 
 namespace pepperturn::test {
 
-class cut_wire
+class partitionable_link
 {
 public:
-    cut_wire(asio::io_context& io, std::uint16_t target)
+    partitionable_link(asio::io_context& io, std::uint16_t target)
         : m_io(io), m_target(target), m_acceptor(io), m_port(free_port(io))
     {
         open();
     }
-    ~cut_wire()
+    ~partitionable_link()
     {
         close();
     }
-    cut_wire(const cut_wire&) = delete;
-    cut_wire& operator=(const cut_wire&) = delete;
+    partitionable_link(const partitionable_link&) = delete;
+    partitionable_link& operator=(const partitionable_link&) = delete;
 
     [[nodiscard]] std::string address() const
     {
         return "127.0.0.1:" + std::to_string(m_port);
     }
-    void set_cut(bool forth, bool back)
+    void set_partitioned(bool forth, bool back)
     {
-        m_state->m_cut = {forth, back};
+        m_state->m_partitioned = {forth, back};
     }
     /// Connections break and none is made until \ref open.
     void close()
@@ -49,7 +49,7 @@
         std::string reason;
         const tcp::endpoint at(asio::ip::make_address("127.0.0.1"), m_port);
         if (open_listener(m_acceptor, at, reason))
-            spawn(m_io, "cut_wire.accept",
+            spawn(m_io, "partitionable_link.accept",
                   accept_all(m_acceptor, [this](tcp::socket socket) {
                       join(std::move(socket));
                   }));
@@ -59,7 +59,7 @@
     /// Outlives the wire while bytes are under way.
     struct shared_state
     {
-        std::array<bool, 2> m_cut{};
+        std::array<bool, 2> m_partitioned{};
         std::set<std::shared_ptr<tcp::socket>> m_sockets;
     };
 
@@ -72,8 +72,10 @@
         if (ec)
             return;
         m_state->m_sockets.insert({near, far});
-        spawn(m_io, "cut_wire.forth", pump(m_io, m_state, near, far, 0));
-        spawn(m_io, "cut_wire.back", pump(m_io, m_state, far, near, 1));
+        spawn(m_io, "partitionable_link.forth",
+              pump(m_io, m_state, near, far, 0));
+        spawn(m_io, "partitionable_link.back",
+              pump(m_io, m_state, far, near, 1));
     }
     static task<> pump(asio::io_context& io,
                        std::shared_ptr<shared_state> state,
@@ -86,7 +88,7 @@
         {
             const auto count =
                 co_await from->async_read_some(asio::buffer(chunk), into(ec));
-            while (!ec && state->m_cut[way])
+            while (!ec && state->m_partitioned[way])
                 co_await sleep_for(io, milliseconds(5));
             if (!ec)
                 co_await asio::async_write(*to, asio::buffer(chunk, count),
--- a/test/support/fleet/proxy_world.hpp
+++ b/test/support/fleet/proxy_fixture.hpp
@@ -17,10 +17,10 @@
 namespace pepperturn::test {
 
 /// A proxy with two runners of one service and a caller's raw connection.
-class proxy_world
+class proxy_fixture
 {
 public:
-    proxy_world(asio::io_context& io, turn_client& turns)
+    proxy_fixture(asio::io_context& io, turn_client& turns)
         : m_io(io), m_turns(turns),
           m_proxy(m_io, m_time, wire_names{}, "z", m_turns), m_first(m_io),
           m_second(m_io), m_caller(m_io)
--- a/test/support/fleet/storage_world.hpp
+++ b/test/support/fleet/storage_fixture.hpp
@@ -22,7 +22,7 @@
 
 inline constexpr std::uint32_t retention_ms = 60000;
 /// A sync of a busy machine's disk may take seconds.
-inline constexpr milliseconds usual_patience{8000};
+inline constexpr milliseconds default_timeout{8000};
 
 /// A storage VM with a disk that may outlive it.
 struct storage_vm
@@ -77,10 +77,10 @@
 };
 
 /// Storage VMs, a store, and an edge VM's client.
-class storage_world
+class storage_fixture
 {
 public:
-    storage_world()
+    storage_fixture()
         : m_store(m_io), m_edge_source(m_io, m_time, m_store.address()),
           m_links(m_io, m_time, "edge"),
           m_client(m_io, m_time, m_links, "vm-0", 1)
@@ -96,9 +96,9 @@
         });
         m_edge_source.start();
     }
-    ~storage_world() = default;
-    storage_world(const storage_world&) = delete;
-    storage_world& operator=(const storage_world&) = delete;
+    ~storage_fixture() = default;
+    storage_fixture(const storage_fixture&) = delete;
+    storage_fixture& operator=(const storage_fixture&) = delete;
 
     void add(const std::string& name, bool bootstrap = true)
     {
@@ -185,7 +185,7 @@
                 retention_ms,      parent};
     }
     begin_result begin(const begin_request& what,
-                       milliseconds patience = usual_patience)
+                       milliseconds patience = default_timeout)
     {
         auto result =
             run_task(m_io, m_client.begin(what, m_time.now() + patience));
@@ -198,8 +198,8 @@
                               turn_record{id, parent, "in-" + id + ';',
                                           "out-" + id + ';', "run",
                                           key_of("program"), key_of(id), 30}};
-        const auto kept =
-            run_task(m_io, m_client.keep(entry, m_time.now() + usual_patience));
+        const auto kept = run_task(
+            m_io, m_client.keep(entry, m_time.now() + default_timeout));
         return kept.value_or(false);
     }
     static std::string text_of(const begin_result& result)
