--- a/include/pepperturn/fleet/edge_connectivity.hpp
+++ b/include/pepperturn/fleet/edge_connectivity.hpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// An edge VM's ways to storage VMs beside its own links: it learns neighbours
-/// while it hears storage VMs, turns to them while it does not, and passes on
-/// what they ask. Nothing of it runs without `[listen] relay`.
+/// An edge VM's access to storage VMs through other edge VMs (relay peers). It
+/// learns its peers while it can reach storage VMs itself, sends requests
+/// through them while it cannot, and relays theirs in turn. Disabled unless
+/// `[listen] relay` is set.
 #pragma once
 
 #include "pepperturn/cluster/member_links.hpp"
@@ -14,28 +15,29 @@
 class edge_connectivity
 {
 public:
-    /// \param world what this VM knows, for neighbours that ask
+    /// \param state the cluster state of this VM, sent to peers that subscribe
     edge_connectivity(asio::io_context& io, const clock& time,
                       const fleet_settings& settings, member_links& links,
-                      std::function<cluster_state()> world);
-    /// Called for what a neighbour tells while no storage VM is heard.
+                      std::function<cluster_state()> state);
+    /// Called with state received from a peer while no storage VM is reachable.
     void on_state(std::function<void(const cluster_state&)> handler)
     {
         m_relay_client.on_state(std::move(handler));
     }
-    /// Tells neighbours that hear no storage VM what has changed.
-    void send_updates(const cluster_state& news)
+    /// Sends changes to peers that cannot reach a storage VM.
+    void send_updates(const cluster_state& update)
     {
-        m_relay_server.send_updates(news);
+        m_relay_server.send_updates(update);
     }
 
-    /// Before the links connect, as their greeting says where this VM relays.
+    /// Called before the links connect: their greeting carries this VM's relay
+    /// address.
     [[nodiscard]] bool start(std::string& reason);
-    /// Storage VMs that tell neighbours.
+    /// Storage VMs to request relay peers from.
     void set_members(const std::vector<member>& members);
     /// Periodic work, a few times a second.
     void tick();
-    /// Relays for nobody any more; askers turn to others at once.
+    /// Stops relaying; peers switch to others at once.
     void stop_relaying();
     void write_metrics(std::string& out) const;
 
@@ -45,7 +47,7 @@
         return !m_relay_address.empty();
     }
     void request_relay_peers();
-    /// No storage VM is heard on its own link.
+    /// No storage VM is reachable directly.
     [[nodiscard]] bool is_partitioned() const;
 
     const clock& m_time;
@@ -55,7 +57,7 @@
     relay_client m_relay_client;
     relay_server m_relay_server;
     std::vector<std::string> m_members;
-    /// Takes turns at whom to ask.
+    /// Next of \ref m_members to request peers from, round robin.
     std::size_t m_next_member = 0;
     instant m_next_request{};
 };
--- a/include/pepperturn/fleet/edge_node.hpp
+++ b/include/pepperturn/fleet/edge_node.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// An edge VM's process: forwarding, with what it needs to know kept current.
+/// An edge VM's process: forwards calls, and keeps the cluster state that
+/// forwarding depends on current.
 #pragma once
 
 #include "pepperturn/cluster/config_fetcher.hpp"
@@ -24,32 +25,36 @@
               state_decoders decoders, state_source& source);
 
     [[nodiscard]] bool start(std::string& reason);
-    /// Planned stop: serves what still comes, then ends the loop.
+    /// Planned stop: serves requests that still arrive, then ends the loop.
     void stop();
     /// Periodic work.
     void tick();
-    /// Figures for operators, one line each.
+    /// Metrics for operators, one line each.
     [[nodiscard]] std::string metrics_text() const;
 
 private:
-    void apply_state(const cluster_state& news);
-    /// The same, from another VM or from the platform's store.
-    void apply_received_state(const cluster_state& news);
-    void apply_store_state(const cluster_state& news);
+    void apply_state(const cluster_state& update);
+    /// Applies state received from another VM, or read from the platform's
+    /// store.
+    void apply_received_state(const cluster_state& update);
+    void apply_store_state(const cluster_state& update);
+    /// Follows the platform's store itself while no storage VM relays it.
     void choose_source();
-    /// Looks for storage VMs beside the seeds, which may be down or late.
+    /// Reads the views from the store if the seeds, which may be down or slow,
+    /// have not sent any.
     task<> find_members();
-    /// While this VM has no configuration: turns to other storage VMs as soon
-    /// as one turns out to be away.
+    /// While this VM has no configuration: switches to other storage VMs as
+    /// soon as one turns out to be unreachable.
     task<> speed_up_first_updates();
     void apply_views();
-    /// Hears the world from the nearest storage VMs that are there.
+    /// Subscribes to state updates of the nearest reachable storage VMs.
     void choose_update_sources();
-    /// Whom to ask how fresh the configuration is, the best first.
+    /// Storage VMs to ask for the configuration's freshness, best first.
     [[nodiscard]] std::vector<std::string> freshness_sources() const;
-    /// Time since the configuration in force was surely the newest.
+    /// Time since the configuration in force was last confirmed as newest.
     [[nodiscard]] milliseconds config_age() const;
-    /// Callers have keys and this VM may not act on them any more.
+    /// Callers need keys, and the configuration is too old to accept them: a
+    /// key may have been revoked since.
     [[nodiscard]] bool config_outdated() const;
     task<> drain();
 
@@ -71,14 +76,14 @@
     status_server m_status;
     status_server m_metrics;
     cluster_state m_state;
-    /// Of all replica sets.
+    /// Storage VMs of all replica sets.
     std::vector<member> m_members;
     bool m_subscribed = false;
     /// Revision of the last configuration that could be read.
     std::uint64_t m_config_revision = 0;
     bool m_stopping = false;
     bool m_own_source = false;
-    /// Entries of runners that came so far, known ones among them.
+    /// Runner entries received so far, including those already known.
     std::uint64_t m_entries_received = 0;
     std::uint64_t m_entries_read = 0;
     instant m_started{};
--- a/include/pepperturn/fleet/runner_list.hpp
+++ b/include/pepperturn/fleet/runner_list.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The runners of the fleet, decoded from what is known of the world.
+/// The runners of the fleet, decoded from the cluster state.
 #pragma once
 
 #include "pepperturn/fleet/state_source.hpp"
@@ -12,9 +12,9 @@
 /// By id.
 using runner_list = std::map<std::string, runner_info>;
 
-/// Decodes the entries that moved; what cannot be read counts as gone. The work
-/// goes with what moved, however many runners there are.
-/// \param moved ids of entries that are new, changed or gone
+/// Decodes changed entries; one that cannot be decoded is treated as removed.
+/// The cost depends on the number of changes, not of runners.
+/// \param moved ids of entries that were added, changed or removed
 [[nodiscard]] std::vector<runner_change>
 decode_runners(const cluster_state& state,
                const std::vector<std::string>& moved,
--- a/include/pepperturn/fleet/state_source.hpp
+++ b/include/pepperturn/fleet/state_source.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Where a process learns of the world outside the fleet: the platform's
-/// store, behind an interface.
+/// Interface to the platform's store, from which a process reads the cluster
+/// state and to which it writes views.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -13,13 +13,13 @@
 
 namespace pepperturn {
 
-/// How a change of the view went.
+/// Outcome of a compare-and-swap of a view.
 enum class swap_outcome : std::uint8_t
 {
     written,
-    /// Another view stands there by now.
+    /// The store holds another view by now.
     conflict,
-    /// Not done, or nobody knows; the source tells what stands there later.
+    /// Not written, or unknown; the source reports the stored view later.
     failed
 };
 
@@ -31,7 +31,7 @@
     std::string m_reason;
 };
 
-/// How fresh a source is, and the configuration that this is about.
+/// How fresh a source is, and the configuration revision that this refers to.
 struct source_freshness
 {
     freshness_bound m_freshness;
@@ -41,13 +41,14 @@
                            const source_freshness&) = default;
 };
 
-/// How a source is to stay fresh.
+/// How a source has to confirm that its state is fresh.
 struct freshness_requirement
 {
     bool m_required = false;
-    /// Since when others are known to be fresh; empty: none is asked.
+    /// When another VM last confirmed the configuration as newest; empty: no
+    /// other VM is asked.
     std::function<instant()> m_confirmed_elsewhere;
-    /// Left to others to ask the store before this source does.
+    /// Time left to other VMs to ask the store before this source does.
     milliseconds m_stagger{0};
 };
 
@@ -56,57 +57,59 @@
 public:
     virtual ~state_source() = default;
 
-    /// Called with everything known whenever something changed.
+    /// Called with the full state whenever something changed.
     virtual void
     on_state(std::function<void(const cluster_state&)> handler) = 0;
-    /// Begins to follow, or goes on.
+    /// Starts to follow the store, or resumes.
     virtual void start() = 0;
-    /// Ends after the call that is under way.
+    /// Stops following after the call in flight.
     virtual void pause() = 0;
 
-    /// Until the fleet is founded, only what it has written itself is read:
-    /// hundreds of VMs start, and each would read every runner.
+    /// Until the initial views exist, reads only what the fleet itself writes:
+    /// with hundreds of VMs starting, each would read every runner.
     virtual void await_bootstrap() = 0;
 
-    /// Asks the store once for the views of the replica sets, which may be
-    /// seconds old; for a VM that knows no storage VM yet.
+    /// Reads the replica sets' views from the store once, for a VM that knows
+    /// no storage VM yet; they may be seconds old.
     [[nodiscard]] virtual task<> read_views() = 0;
 
-    /// Takes what another VM knows, for while the store is out of reach from
-    /// here only.
-    virtual void merge_remote_state(const cluster_state& news) = 0;
-    /// Tells when any other VM last heard the store.
+    /// Merges state received from another VM, for the case that the store is
+    /// unreachable from this VM only.
+    virtual void merge_remote_state(const cluster_state& update) = 0;
+    /// Records when any other VM last received an answer from the store.
     virtual void record_remote_contact(instant at) = 0;
 
-    /// Tells the storage VMs that start for the first time of \p self.
+    /// Announces \p self to the storage VMs that bootstrap the fleet.
     [[nodiscard]] virtual task<bool> announce(member self) = 0;
-    /// Storage VMs that have announced themselves, as far as this VM follows.
+    /// Storage VMs that have announced themselves, as far as read here.
     [[nodiscard]] virtual std::vector<member> announced() const = 0;
-    /// When the last of them was heard of.
+    /// When the last of these announcements was read.
     [[nodiscard]] virtual instant last_announced() const = 0;
-    /// Writes the first views of all replica sets, unless there are any.
+    /// Writes the initial views of all replica sets, unless views exist.
     [[nodiscard]] virtual task<swap_result>
     write_initial_views(std::vector<cluster_view> views) = 0;
-    /// Asks for \p next in place of its set's view at \p expected.
+    /// Replaces its set's view by \p next if the stored epoch is \p expected.
     [[nodiscard]] virtual task<swap_result>
     swap_view(cluster_view next, std::uint64_t expected) = 0;
-    /// Tells the operator how far the emptying of \p vm is.
+    /// Reports to the operator that the emptying of \p vm has begun or
+    /// completed.
     [[nodiscard]] virtual task<bool> report_emptying(std::string vm,
                                                      bool completed) = 0;
 
-    /// Asks the store, while this source follows it, how old its news are;
-    /// each question is priced.
+    /// While this source follows the store, queries how current its state is;
+    /// each query is billed.
     virtual void keep_fresh(freshness_requirement need) = 0;
     [[nodiscard]] virtual source_freshness freshness() const = 0;
-    /// The store has been read whole at least once.
+    /// The store has been read completely at least once.
     [[nodiscard]] virtual bool synced() const = 0;
     /// When the store last answered.
     [[nodiscard]] virtual instant last_contact() const = 0;
-    /// It follows the store, or is about to.
+    /// The source follows the store, or is about to.
     [[nodiscard]] virtual bool running() const = 0;
 };
 
-/// Decodes the texts of a cluster_state; empty with a reason if unusable.
+/// Decoders of the texts in a cluster_state; each returns nothing and sets the
+/// reason if the text is unusable.
 struct state_decoders
 {
     std::function<std::optional<routing_config>(const std::string& text,
--- a/include/pepperturn/fleet/status_server.hpp
+++ b/include/pepperturn/fleet/status_server.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Tiny HTTP face of a process: whether it is ready, and its figures under
+/// HTTP endpoint of a process: readiness (200 or 503), and its metrics under
 /// /metrics.
 #pragma once
 
@@ -17,8 +17,8 @@
                   std::function<std::string()> metrics);
 
     [[nodiscard]] bool listen(const tcp::endpoint& at, std::string& reason);
-    /// The same for a process that goes on without it: a fault is logged.
-    /// \param address IP:PORT; empty: nowhere
+    /// Listens if it can; a failure is logged, and the process goes on without.
+    /// \param address IP:PORT; empty: does not listen
     void listen_optional(const std::string& address);
 
 private:
--- a/include/pepperturn/fleet/storage_node.hpp
+++ b/include/pepperturn/fleet/storage_node.hpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// A storage VM's process: keeps turns and budgets, follows the platform's
-/// store for the fleet, and takes part in the view.
+/// A storage VM's process: stores turns and budgets, follows the platform's
+/// store for the fleet, counts shares of limits, assigns engine placements, and
+/// maintains its replica set's view.
 #pragma once
 
 #include "pepperturn/cluster/config_fetcher.hpp"
@@ -33,65 +34,68 @@
     void stop();
     /// Periodic work.
     void tick();
-    /// What this VM believes about the world.
+    /// The cluster state as this VM knows it.
     [[nodiscard]] const cluster_state& state() const
     {
         return m_server->state();
     }
 
 private:
-    /// Reads the log, on a thread of its own.
+    /// Reads the log on a separate thread.
     void load_disk();
-    /// \param reason why the log cannot be read; empty: it was
+    /// \param reason why the log could not be read; empty on success
     void disk_loaded(bool damaged, const std::string& reason);
-    void apply_state(const cluster_state& news);
+    void apply_state(const cluster_state& update);
     [[nodiscard]] std::string metrics_text() const;
     [[nodiscard]] bool listen(std::string& reason);
-    /// Who this VM is, as it stands in a view.
+    /// This VM's entry in a view.
     [[nodiscard]] member self() const;
     [[nodiscard]] membership_facts gather_facts(const cluster_view& view) const;
     task<> maintain_membership();
-    /// Announces this VM, and writes the first views once all have done so.
+    /// Announces this VM, and writes the initial views once all have done so.
     task<> bootstrap_fleet();
     task<> change_view();
     task<> report_emptied();
-    /// The view that this VM is in, or should join; empty: it stands by.
+    /// The view that this VM is in or should join; empty: it is on standby.
     [[nodiscard]] std::optional<cluster_view> view_to_maintain() const;
-    /// Connects to the own set and to whoever watches the store.
+    /// Connects to its own replica set, the watchers and the update sources.
     void update_connections();
-    /// Hears the world from the VMs that are to tell it, if any is there.
+    /// Subscribes to the update sources, or to the watchers if no update source
+    /// is reachable.
     void choose_update_sources();
-    /// Whether this VM reads the store before it knows the fleet: when all
-    /// start for the first time, a few do.
+    /// Whether this VM reads the store before it knows the fleet: at a first
+    /// start of all VMs, only a few do.
     [[nodiscard]] bool may_bootstrap() const;
-    /// Watches the store, or stops, by what the other storage VMs say.
+    /// Starts or stops watching the store, depending on how many other storage
+    /// VMs watch it.
     void choose_watching();
     [[nodiscard]] watch_facts gather_watch_facts();
-    /// When the store was last heard, by this VM or one that watches it.
+    /// When the store last answered this VM or another watcher.
     [[nodiscard]] instant last_store_contact() const;
-    /// Whom to ask how fresh what they know is.
+    /// Storage VMs to ask for the freshness of their state.
     [[nodiscard]] std::vector<std::string> freshness_sources() const;
-    /// Whether callers have keys, by the newest configuration.
+    /// Applies the newest configuration: engines, workspaces, and whether
+    /// limits are shared out.
     void update_config();
-    /// The same for what the disk remembers, once the loop has answered those
-    /// that wait for this VM.
+    /// Applies the configuration stored on disk, once the loop has answered the
+    /// requests that wait for this VM.
     task<> load_first_config();
-    /// Has the store asked, by this VM or by those that watch it.
+    /// Keeps freshness confirmed, by queries to the store or to the watchers.
     void update_freshness_polling();
-    /// What this VM knows of the store, and how old that is.
+    /// How current this VM's configuration and views are.
     [[nodiscard]] freshness_bound freshness() const;
-    /// \param asker number of its connection
-    /// \returns false: the question is about turns
-    [[nodiscard]] bool handle_request(std::uint64_t asker,
-                                      const frame_body& question,
+    /// \param requester id of the connection that the request came from
+    /// \returns false if the request is about turns
+    [[nodiscard]] bool handle_request(std::uint64_t requester,
+                                      const frame_body& request,
                                       const turn_server::reply& reply);
-    [[nodiscard]] quota_reply count_request(const quota_request& question);
-    /// What this VM has counted, by workspace.
+    [[nodiscard]] quota_reply count_request(const quota_request& request);
+    /// Metrics of the requests counted here, by workspace.
     [[nodiscard]] std::string workspace_text() const;
     task<> copy_all();
-    /// \param gathered only if the member has gathered what others hold
+    /// \param gathered only if the member has copied what the others hold
     task<bool> copy_from(std::string name, std::uint64_t epoch, bool gathered);
-    /// The same, unless it was done in this epoch already.
+    /// Copies unless that was done in this epoch already.
     task<bool> copy_once(std::string name, std::uint64_t epoch, bool gathered);
     task<bool> copy_turns(std::string name,
                           std::vector<std::uint64_t> positions);
@@ -108,12 +112,12 @@
     freshness_poller m_freshness_poller;
     staleness_limits m_staleness_limits;
     limiter m_limiter;
-    /// Names of the configuration's workspaces, by their hashes.
+    /// Names of the configured workspaces, by hash.
     std::map<std::uint64_t, std::string> m_workspace_names;
     owner_knowledge m_owners;
     storage_placements m_placements;
     bool m_counts_shares = false;
-    /// Revision of the configuration that says so.
+    /// Revision of the configuration last decoded.
     std::uint64_t m_decoded_config_revision = 0;
     std::unique_ptr<turn_log> m_log;
     std::unique_ptr<turn_store> m_store;
@@ -123,19 +127,19 @@
     std::uint64_t m_fresh_disk = 0;
     std::uint64_t m_disk = 0;
     bool m_loaded = false;
-    /// The loop has run for a moment.
+    /// The loop has answered the requests that waited at the start.
     bool m_answering = false;
     std::uint64_t m_caught_up_at = 0;
-    /// Epoch in which all of another member's holdings were copied.
+    /// Epoch in which all data of another member was copied.
     std::map<std::string, std::uint64_t> m_copied_at;
     instant m_isolated_until{};
     /// The order in which storage VMs watch the store.
     std::vector<std::string> m_watch_order;
-    /// Who is to tell this VM the world.
+    /// Storage VMs that send state updates to this VM.
     std::vector<std::string> m_update_sources;
-    /// Since when too few watch it.
+    /// Since when too few storage VMs watch the store.
     std::optional<instant> m_too_few_since;
-    /// A view that is newer than this is waited for before the next change.
+    /// The next change waits for a view newer than this epoch.
     std::uint64_t m_outdated_epoch = 0;
     instant m_next_change{};
     bool m_announced = false;
--- a/include/pepperturn/fleet/storage_placements.hpp
+++ b/include/pepperturn/fleet/storage_placements.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// A storage VM's part in handing out places at engines: keeps the engines
-/// current, answers edge VMs, and decides for those that wait in line.
+/// A storage VM's placement service: keeps the engines current, replies to edge
+/// VMs' placement requests, and decides for queued calls.
 #pragma once
 
 #include "pepperturn/base/zone_map.hpp"
@@ -21,38 +21,39 @@
 
     void apply_config(const routing_config& config);
     void apply_changes(const std::vector<runner_change>& changes);
-    /// No places at engines of \p zones.
+    /// No further placements at engines of \p zones.
     void evacuate(const std::vector<std::string>& zones);
 
-    /// \param asker number of its connection
-    void handle_request(std::uint64_t asker, const placement_request& question,
+    /// \param requester id of the connection that the request came from
+    void handle_request(std::uint64_t requester,
+                        const placement_request& request,
                         const turn_server::reply& reply);
     void handle_report(const placement_report& report);
-    /// The connection has ended: places asked for on it come back, since
-    /// whoever was killed tells no ends, and engines would seem full of runs
-    /// that are over.
-    void release_connection(std::uint64_t asker);
-    /// Periodic work: those whose wait is over.
+    /// Releases the placements requested on a connection that has closed: a
+    /// killed edge VM reports no ends, and engines would seem full of runs that
+    /// are over.
+    void release_connection(std::uint64_t requester);
+    /// Periodic work: sends decisions and drops requests past their deadline.
     void tick();
     void write_metrics(std::string& out) const;
 
 private:
-    /// A call in line whose asker waits for the decision.
+    /// The pending reply to a queued call's request for its decision.
     struct waiter
     {
         turn_server::reply m_reply;
         instant m_deadline{};
     };
 
-    void await_decision(const placement_request& question,
+    void await_decision(const placement_request& request,
                         const turn_server::reply& reply);
     void send_decisions();
-    /// Notes whose call it is.
-    void record_requester(std::uint64_t asker,
-                          const placement_request& question);
+    /// Records which connection a call belongs to.
+    void record_requester(std::uint64_t requester,
+                          const placement_request& request);
     void forget_call(std::uint64_t call);
-    /// Follows a service's engines if this VM is asked for places there; the
-    /// work goes with its runners.
+    /// Updates a service's engines if they have changed; the cost grows with
+    /// the number of runners.
     void refresh(const std::string& service);
     void refresh_requested();
     void record_service_request(std::uint64_t service);
@@ -60,9 +61,9 @@
     const clock& m_time;
     zone_map m_zones;
     engine_placements m_placements;
-    /// Of services that are engines, by name.
+    /// Services that are engines, by name.
     std::map<std::string, service> m_engines;
-    /// A runner, and until when it is cold.
+    /// A runner, and the time at which it stops being cold.
     struct known_runner
     {
         runner_info m_info;
@@ -70,18 +71,18 @@
     };
     std::map<std::string, known_runner> m_runners;
     std::set<std::string> m_evacuated;
-    /// Services whose engines have changed since they were followed.
+    /// Services whose engines have changed since the last refresh.
     std::set<std::string> m_outdated;
-    /// When places of a service were last asked for here, by its hash.
+    /// Time of the last placement request for a service, by its hash.
     std::unordered_map<std::uint64_t, instant> m_requested;
     std::unordered_map<std::uint64_t, waiter> m_waiters;
-    /// Calls with a place or in line, by asker; each with its service.
+    /// Placed or queued calls, by requester; each with its service.
     std::unordered_map<std::uint64_t,
                        std::unordered_map<std::uint64_t, std::uint64_t>>
         m_open_calls;
-    /// The asker of each of these.
+    /// The requester of each of these calls.
     std::unordered_map<std::uint64_t, std::uint64_t> m_requesters;
-    /// Decided before they were asked for.
+    /// Decisions made before the call asked for them.
     std::unordered_map<std::uint64_t, placement_reply> m_decided;
     std::array<std::uint64_t, 4> m_reply_counts{};
 };
--- a/src/fleet/edge_connectivity.cpp
+++ b/src/fleet/edge_connectivity.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Between questions for neighbours: those that are lost in between are passed
-/// over for others.
-constexpr milliseconds neighbours_interval{5000};
-/// While none is known: the fleet is just starting.
+/// Between requests for relay peers; peers lost in between are skipped in
+/// favour of others.
+constexpr milliseconds peers_interval{5000};
+/// While no peer is known: the fleet is just starting.
 constexpr milliseconds first_interval{1000};
 
 } // namespace
@@ -20,7 +20,7 @@
 edge_connectivity::edge_connectivity(asio::io_context& io, const clock& time,
                                      const fleet_settings& settings,
                                      member_links& links,
-                                     std::function<cluster_state()> world)
+                                     std::function<cluster_state()> state)
     : m_time(time), m_links(links), m_relay_address(settings.m_relay_address),
       m_availability_zone(settings.m_availability_zone),
       m_relay_client(io, time, settings.m_name, settings.m_availability_zone),
@@ -29,11 +29,12 @@
                           return links.reachable_directly(member);
                       },
                       [&links](std::string member, std::uint64_t epoch,
-                               frame_body body, instant until) {
-                          return links.request_directly(
-                              std::move(member), epoch, std::move(body), until);
+                               frame_body body, instant deadline) {
+                          return links.request_directly(std::move(member),
+                                                        epoch, std::move(body),
+                                                        deadline);
                       },
-                      std::move(world)})
+                      std::move(state)})
 {}
 
 bool edge_connectivity::start(std::string& reason)
@@ -89,15 +90,15 @@
             continue;
         m_next_request = m_time.now() + first_interval;
         m_links.call(name, 0, want_neighbours_message{},
-                     [this](const std::optional<frame>& answer) {
-                         const auto* told =
-                             answer ? std::get_if<neighbours_message>(
-                                          &answer->m_body)
-                                    : nullptr;
-                         if (told == nullptr || told->m_neighbours.empty())
+                     [this](const std::optional<frame>& reply) {
+                         const auto* peers =
+                             reply ? std::get_if<neighbours_message>(
+                                         &reply->m_body)
+                                   : nullptr;
+                         if (peers == nullptr || peers->m_neighbours.empty())
                              return;
-                         m_next_request = m_time.now() + neighbours_interval;
-                         m_relay_client.set_peers(told->m_neighbours);
+                         m_next_request = m_time.now() + peers_interval;
+                         m_relay_client.set_peers(peers->m_neighbours);
                      });
         return;
     }
--- a/src/fleet/edge_node.cpp
+++ b/src/fleet/edge_node.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-/// Without word of the platform's store through a storage VM for this long,
-/// an edge VM asks the store itself. Storage VMs tell twice a second, and
-/// what they tell may be a watch old.
-constexpr milliseconds relay_patience{3200};
-/// A seed that runs has answered by then: several round trips.
-constexpr milliseconds seed_answer{15};
-/// While nothing can be served yet: a round trip within the region.
-constexpr milliseconds hasten_interval{20};
-/// Whoever has no configuration by then looks for news at the usual ticks.
-constexpr milliseconds hasten_span{3000};
-/// After the order to stop: the balancer asks once a second and takes a VM
-/// out after two misses.
-constexpr milliseconds still_new_connections{3000};
-/// Left of the grace for the last answers to be written.
+/// Without an update of the platform's store through a storage VM for this
+/// long, an edge VM reads the store itself. Storage VMs send heartbeats twice a
+/// second, and their state may be as old as one watch of the store.
+constexpr milliseconds relay_timeout{3200};
+/// A running seed has replied within this time: several round trips.
+constexpr milliseconds seed_reply_delay{15};
+/// Interval while nothing can be served yet: a round trip within the region.
+constexpr milliseconds first_update_interval{20};
+/// Without a configuration after this time, update sources are chosen at the
+/// usual ticks only.
+constexpr milliseconds first_update_span{3000};
+/// New connections are accepted this long after the order to stop: the load
+/// balancer checks once a second and removes a VM after two failed checks.
+constexpr milliseconds accept_after_stop{3000};
+/// Part of the grace period kept for writing the last responses.
 constexpr milliseconds exit_margin{400};
 constexpr milliseconds drain_check{50};
 
@@ -40,7 +41,7 @@
                      [this] { return full_state(m_state); }),
       m_config_fetcher(
           io, time, m_links, settings.m_availability_zone,
-          [this](const cluster_state& news) { apply_state(news); }),
+          [this](const cluster_state& update) { apply_state(update); }),
       m_turns(io, time, m_links, settings.m_availability_zone,
               settings.m_disk_losses),
       m_freshness_poller(
@@ -105,23 +106,24 @@
     m_proxy.set_cold_client(m_cold);
     m_proxy.set_random_seed(hash64(m_settings.m_name));
     m_links.on_state(
-        [this](const std::string& from, const cluster_state& news) {
-            apply_received_state(news);
-            m_config_fetcher.note_announced(from, news.m_config_revision);
+        [this](const std::string& from, const cluster_state& update) {
+            apply_received_state(update);
+            m_config_fetcher.note_announced(from, update.m_config_revision);
         });
     m_source.on_state(
-        [this](const cluster_state& news) { apply_store_state(news); });
-    m_connectivity.on_state([this](const cluster_state& news) {
-        apply_received_state(news);
-        // A long configuration is asked for through a neighbour as well.
+        [this](const cluster_state& update) { apply_store_state(update); });
+    m_connectivity.on_state([this](const cluster_state& update) {
+        apply_received_state(update);
+        // A long configuration is fetched through a relay peer as well.
         for (const auto& row : m_members)
-            m_config_fetcher.note_announced(row.m_name, news.m_config_revision);
+            m_config_fetcher.note_announced(row.m_name,
+                                            update.m_config_revision);
     });
     m_started = m_time.now();
     m_links.set_max_persistent(m_settings.m_kept_links);
     m_links.on_hello([this] { return m_state.m_runners_revision; });
     m_links.connect_seeds(m_settings.m_seeds);
-    // Before the fleet is founded the store has no views.
+    // Before the fleet is bootstrapped the store has no views.
     if (!m_settings.m_bootstrap)
         spawn(m_io, "edge_node.find_members", find_members());
     spawn(m_io, "edge_node.hasten_news", speed_up_first_updates());
@@ -130,35 +132,36 @@
 
 task<> edge_node::find_members()
 {
-    co_await sleep_for(m_io, seed_answer);
+    co_await sleep_for(m_io, seed_reply_delay);
     if (m_state.m_views.empty())
         co_await m_source.read_views();
 }
 
 task<> edge_node::speed_up_first_updates()
 {
-    while (!m_proxy.has_config() && m_time.now() - m_started < hasten_span)
+    while (!m_proxy.has_config() &&
+           m_time.now() - m_started < first_update_span)
     {
         choose_update_sources();
-        co_await sleep_for(m_io, hasten_interval);
+        co_await sleep_for(m_io, first_update_interval);
     }
 }
 
-void edge_node::apply_received_state(const cluster_state& news)
+void edge_node::apply_received_state(const cluster_state& update)
 {
-    m_entries_received += news.m_runners.size();
-    apply_state(news);
+    m_entries_received += update.m_runners.size();
+    apply_state(update);
 }
 
-void edge_node::apply_store_state(const cluster_state& news)
+void edge_node::apply_store_state(const cluster_state& update)
 {
-    m_entries_read += news.m_runners.size();
-    apply_state(news);
+    m_entries_read += update.m_runners.size();
+    apply_state(update);
 }
 
-void edge_node::apply_state(const cluster_state& news)
+void edge_node::apply_state(const cluster_state& update)
 {
-    const auto change = merge_state(m_state, news);
+    const auto change = merge_state(m_state, update);
     m_config_fetcher.note_known(m_state.m_config_revision);
     if (change.m_config)
     {
@@ -192,7 +195,8 @@
     m_members = members_of(m_state.m_views);
     LOG(INFO) << "event=views_taken sets=" << m_state.m_views.size()
               << " members=" << m_members.size();
-    // Whoever is connected to first must already know whether it is heard.
+    // The first VM to be connected must already know whether this VM
+    // subscribes to it.
     m_subscribed = true;
     choose_update_sources();
     m_links.set_members(m_members);
@@ -211,8 +215,8 @@
     {
         if (!m_links.connected(row.m_name))
             continue;
-        // A VM that has just started has heard of no watcher yet; every
-        // storage VM can answer, only with a greater age.
+        // A VM that has just started knows no watcher yet; every storage VM
+        // can reply, only with a greater age.
         const bool watches = m_links.watches_store(row.m_name);
         const bool far =
             row.m_availability_zone != m_settings.m_availability_zone;
@@ -251,21 +255,21 @@
         m_members, m_settings.m_name, m_settings.m_availability_zone,
         [this](const std::string& name) { return m_links.may_reach(name); },
         m_settings.m_zones);
-    const auto wanted =
+    const auto target_count =
         target_source_count({m_members.size() > m_settings.m_kept_links,
                              !m_state.m_runners.empty() && m_proxy.has_config(),
                              elapsed(m_started, m_time.now())});
-    sources.resize(std::min(sources.size(), wanted));
+    sources.resize(std::min(sources.size(), target_count));
     m_links.subscribe(std::move(sources));
 }
 
 void edge_node::choose_source()
 {
     const auto now = m_time.now();
-    const bool relayed = now - m_links.store_last_seen() < relay_patience;
-    const auto patience = store_read_delay(
+    const bool relayed = now - m_links.store_last_seen() < relay_timeout;
+    const auto read_delay = store_read_delay(
         m_members.size() > m_settings.m_kept_links, m_turns.connected());
-    if (!relayed && now - m_started < patience)
+    if (!relayed && now - m_started < read_delay)
         return;
     if (relayed != m_own_source)
         return;
@@ -297,14 +301,14 @@
 task<> edge_node::drain()
 {
     const auto begun = m_time.now();
-    const auto latest =
+    const auto deadline =
         begun + std::chrono::seconds(m_settings.m_grace_s) - exit_margin;
-    while (m_time.now() < latest)
+    while (m_time.now() < deadline)
     {
-        if (m_time.now() >= begun + still_new_connections)
+        if (m_time.now() >= begun + accept_after_stop)
         {
-            // Where many VMs stop at once the balancer goes on using them:
-            // a refused connection is tried elsewhere at once.
+            // If many VMs stop at once, the load balancer keeps using them; it
+            // retries a refused connection elsewhere at once.
             m_proxy.stop_accepting();
             m_proxy.close_idle();
             if (m_proxy.active_requests() == 0)
--- a/src/fleet/runner_list.cpp
+++ b/src/fleet/runner_list.cpp
@@ -14,7 +14,7 @@
     out.reserve(moved.size());
     std::uint64_t newest = 0;
     std::size_t draining = 0;
-    std::size_t gone = 0;
+    std::size_t removed = 0;
     for (const auto& name : moved)
     {
         runner_change change{name, std::nullopt};
@@ -30,13 +30,13 @@
                            << " reason=\"" << reason << '"';
         }
         draining += change.m_info && change.m_info->m_draining ? 1 : 0;
-        gone += change.m_info ? 0 : 1;
+        removed += change.m_info ? 0 : 1;
         out.push_back(std::move(change));
     }
     LOG(INFO) << "event=runners_taken revision=" << newest
               << " known=" << state.m_runners.size()
               << " moved=" << moved.size() << " draining=" << draining
-              << " gone=" << gone;
+              << " gone=" << removed;
     return out;
 }
 
--- a/src/fleet/status_server.cpp
+++ b/src/fleet/status_server.cpp
@@ -12,7 +12,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr milliseconds idle_patience{30000};
+constexpr milliseconds idle_timeout{30000};
 constexpr const char* metrics_path = "/metrics";
 
 } // namespace
@@ -63,12 +63,12 @@
 {
     boost::beast::tcp_stream stream(std::move(socket));
     boost::beast::flat_buffer buffer;
-    bool go_on = true;
-    while (go_on)
+    bool keep_alive = true;
+    while (keep_alive)
     {
         error_code ec;
         http::request<http::string_body> request;
-        stream.expires_after(idle_patience);
+        stream.expires_after(idle_timeout);
         co_await http::async_read(stream, buffer, request, into(ec));
         if (ec)
             break;
@@ -79,11 +79,11 @@
         else
             response.result(m_ready() ? http::status::ok
                                       : http::status::service_unavailable);
-        go_on = request.keep_alive();
-        response.keep_alive(go_on);
+        keep_alive = request.keep_alive();
+        response.keep_alive(keep_alive);
         response.prepare_payload();
         co_await http::async_write(stream, response, into(ec));
-        go_on = go_on && !ec;
+        keep_alive = keep_alive && !ec;
     }
     stream.close();
 }
--- a/src/fleet/storage_limits.cpp
+++ b/src/fleet/storage_limits.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// A storage VM's part in what callers may do: how fresh what it knows of the
-// store is, and this VM's shares of the limits of workspaces.
+// A storage VM's part in admission: how fresh its state is, and its shares of
+// the workspaces' limits.
 #include "pepperturn/fleet/storage_node.hpp"
 
 #include "pepperturn/base/hash.hpp"
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// A watcher asks the store this much later than the one before it in the
-/// order: it has asked that one by then.
+/// A watcher queries the store this much later than the one before it in the
+/// watch order: it has asked that one by then.
 constexpr milliseconds check_stagger{450};
-/// Those further back wait no longer than this many turns: the first ones may
-/// all be gone.
-constexpr std::ptrdiff_t most_turns = 3;
+/// Watchers further back wait no longer than this many steps: the first ones
+/// may all have failed.
+constexpr std::ptrdiff_t max_stagger_steps = 3;
 
-/// Some of its runners bear few calls while they are cold.
+/// Whether any service limits the call rate of its cold runners.
 bool has_cold_limits(const routing_config& config)
 {
     return std::any_of(
@@ -31,7 +31,7 @@
 
 std::vector<std::string> storage_node::freshness_sources() const
 {
-    // All that these know of views comes here before their answers.
+    // Views known to these VMs are received here before their replies.
     std::vector<std::string> out;
     const auto count = std::min(m_watch_order.size(), watch_candidates);
     for (std::size_t i = 0; i < count; ++i)
@@ -70,7 +70,7 @@
 
 void storage_node::update_freshness_polling()
 {
-    // Where nothing is shared out, nothing hangs on its age.
+    // Without shared limits, the age of the state does not matter.
     const auto own = std::find(m_watch_order.begin(), m_watch_order.end(),
                                m_settings.m_name);
     m_source.keep_fresh(
@@ -79,7 +79,7 @@
              return m_freshness_poller.freshness().m_config_confirmed_at;
          },
          check_stagger * std::min<std::ptrdiff_t>(own - m_watch_order.begin(),
-                                                  most_turns)});
+                                                  max_stagger_steps)});
     m_freshness_poller.set_enabled(m_counts_shares);
 }
 
@@ -91,20 +91,20 @@
     return newest(own.m_freshness, m_freshness_poller.freshness());
 }
 
-bool storage_node::handle_request(std::uint64_t asker,
-                                  const frame_body& question,
+bool storage_node::handle_request(std::uint64_t requester,
+                                  const frame_body& request,
                                   const turn_server::reply& reply)
 {
-    if (std::holds_alternative<want_freshness_message>(question))
+    if (std::holds_alternative<want_freshness_message>(request))
         reply(report_freshness(freshness(), m_server->state().m_config_revision,
                                m_time.now()));
-    else if (const auto* asked = std::get_if<quota_request>(&question))
-        reply(count_request(*asked));
-    else if (const auto* place = std::get_if<placement_request>(&question))
-        m_placements.handle_request(asker, *place, reply);
-    else if (const auto* ended = std::get_if<placement_report>(&question))
+    else if (const auto* quota = std::get_if<quota_request>(&request))
+        reply(count_request(*quota));
+    else if (const auto* placement = std::get_if<placement_request>(&request))
+        m_placements.handle_request(requester, *placement, reply);
+    else if (const auto* report = std::get_if<placement_report>(&request))
     {
-        m_placements.handle_report(*ended);
+        m_placements.handle_report(*report);
         reply(appended_message{});
     }
     else
@@ -126,23 +126,24 @@
     return text_of(std::move(rows));
 }
 
-quota_reply storage_node::count_request(const quota_request& question)
+quota_reply storage_node::count_request(const quota_request& request)
 {
     const auto now = m_time.now();
     const auto& self = m_settings.m_name;
     const auto& history = m_owners.m_history;
-    const auto workspace = question.m_workspace;
+    const auto workspace = request.m_workspace;
     const auto takeover = m_staleness_limits.m_max_revoke_delay;
-    const auto wanted = owner_count_for(question);
-    const auto left = remaining_use_time(m_staleness_limits,
-                                         freshness().m_views_confirmed_at, now);
-    const double share =
-        left ? share_of(history, self, workspace, now, takeover, wanted) : 0;
-    const auto since =
+    const auto owner_count = owner_count_for(request);
+    const auto remaining = remaining_use_time(
+        m_staleness_limits, freshness().m_views_confirmed_at, now);
+    const double share = remaining ? share_of(history, self, workspace, now,
+                                              takeover, owner_count)
+                                   : 0;
+    const auto granting_from =
         std::max(m_started, granting_since(history, self, workspace, share,
-                                           takeover, wanted));
-    return m_limiter.handle(limit_queue_timeout(question, left), share, since,
-                            now);
+                                           takeover, owner_count));
+    return m_limiter.handle(limit_queue_timeout(request, remaining), share,
+                            granting_from, now);
 }
 
 } // namespace pepperturn
--- a/src/fleet/storage_membership.cpp
+++ b/src/fleet/storage_membership.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// A storage VM's part in its replica set: founding, changes of the view, and
-// copying what other members hold.
+// A storage VM's part in its replica set: bootstrap, changes of the view, and
+// copying data from other members.
 #include "pepperturn/fleet/storage_node.hpp"
 
 #include <algorithm>
@@ -11,21 +11,22 @@
 namespace {
 
 constexpr milliseconds membership_interval{150};
-/// Ten beats: a restart or a freeze is over by then, a loss is not.
-constexpr milliseconds silence_limit{5000};
-/// Three beats.
-constexpr milliseconds isolation_limit{1600};
-constexpr milliseconds copy_patience{2000};
-/// Turns in one question: about a megabyte, a few milliseconds of work.
+/// Ten heartbeats: a restart or a freeze is over by then, a loss is not.
+constexpr milliseconds unresponsive_timeout{5000};
+/// Three heartbeats.
+constexpr milliseconds isolation_timeout{1600};
+constexpr milliseconds copy_timeout{2000};
+/// Turns per read request: about a megabyte, a few milliseconds of work.
 constexpr std::size_t read_batch = 128;
-/// The fleet is founded once nobody has announced itself for this long: VMs
-/// start within tenths of a second of each other. Who comes later joins.
-constexpr milliseconds founding_quiet{1000};
-/// VMs found one after the other, so that one of them usually does it.
-constexpr milliseconds founding_step{200};
-/// After a change of view was refused, the view that stands there is usually
-/// heard of within this; each try is a priced call.
-constexpr milliseconds conflict_patience{700};
+/// The initial views are written once no VM has announced itself for this
+/// long: VMs start within tenths of a second of each other. Later ones join.
+constexpr milliseconds bootstrap_quiet_period{1000};
+/// VMs attempt the bootstrap one after the other, so that usually only one
+/// writes the initial views.
+constexpr milliseconds bootstrap_step{200};
+/// After a conflicting change of view, the stored view is usually received
+/// within this time; each attempt is a billed call.
+constexpr milliseconds conflict_timeout{700};
 
 } // namespace
 
@@ -46,17 +47,19 @@
     facts.m_copied_by = m_server->copied_by(view.m_epoch);
     facts.m_disk_losses = m_settings.m_disk_losses;
     const auto now = m_time.now();
-    // Who is outside the set does not listen to its members.
+    // A VM outside the set gets no heartbeats from its members.
     if (find_member(view, m_settings.m_name) == nullptr)
         return facts;
     for (const auto& row : view.m_members)
     {
-        const auto heard = std::max(m_started, m_links.last_seen(row.m_name));
+        const auto last_seen =
+            std::max(m_started, m_links.last_seen(row.m_name));
         if (row.m_name == m_settings.m_name)
             continue;
-        if (now - heard > silence_limit && now >= m_isolated_until)
+        if (now - last_seen > unresponsive_timeout && now >= m_isolated_until)
             facts.m_unresponsive.insert(row.m_name);
-        if (now - heard > isolation_limit || !m_links.connected(row.m_name))
+        if (now - last_seen > isolation_timeout ||
+            !m_links.connected(row.m_name))
             facts.m_unreachable.insert(row.m_name);
     }
     return facts;
@@ -85,8 +88,8 @@
 
 task<> storage_node::bootstrap_fleet()
 {
-    // Only a first start may begin with nothing; else an empty store means
-    // that it was read wrongly.
+    // Only a first start may find an empty store; otherwise an empty store
+    // means that it was read wrongly.
     if (!m_settings.m_bootstrap)
         co_return;
     if (!m_announced && (m_source.synced() || !may_bootstrap()))
@@ -100,16 +103,16 @@
         });
     if (own == vms.end())
         co_return;
-    const auto turn = m_source.last_announced() + founding_quiet +
-                      (own - vms.begin()) * founding_step;
-    if (m_time.now() < turn)
+    const auto earliest = m_source.last_announced() + bootstrap_quiet_period +
+                          (own - vms.begin()) * bootstrap_step;
+    if (m_time.now() < earliest)
         co_return;
     auto views = initial_views(std::move(vms), m_settings.m_disk_losses);
     const auto sets = views.size();
     const auto result = co_await m_source.write_initial_views(std::move(views));
     LOG(INFO) << "event=fleet_founded sets=" << sets
               << " outcome=" << result.m_reason;
-    m_next_change = m_time.now() + conflict_patience;
+    m_next_change = m_time.now() + conflict_timeout;
 }
 
 std::optional<cluster_view> storage_node::view_to_maintain() const
@@ -141,7 +144,7 @@
         !m_emptying_reported)
         m_emptying_reported =
             co_await m_source.report_emptying(m_settings.m_name, false);
-    // Whether there is a set that it could join is another matter.
+    // This does not depend on whether there is a set that it could join.
     const auto& views = m_server->state().m_views;
     if (m_server->own_view().m_members.empty() &&
         is_emptied(views.front(), gather_facts(views.front())))
@@ -167,13 +170,13 @@
     if (result.m_outcome != swap_outcome::written)
     {
         m_outdated_epoch = std::max(m_outdated_epoch, view->m_epoch);
-        m_next_change = m_time.now() + conflict_patience;
+        m_next_change = m_time.now() + conflict_timeout;
         co_return;
     }
-    cluster_state news;
+    cluster_state update;
     next->m_epoch = result.m_epoch;
-    news.m_views = {std::move(*next)};
-    apply_state(news);
+    update.m_views = {std::move(*next)};
+    apply_state(update);
 }
 
 task<bool> storage_node::copy_turns(std::string name,
@@ -182,16 +185,15 @@
     for (std::size_t begin = 0; begin < positions.size(); begin += read_batch)
     {
         const auto end = std::min(begin + read_batch, positions.size());
-        const frame_body question = read_message{
+        const frame_body request = read_message{
             {positions.begin() + static_cast<std::ptrdiff_t>(begin),
              positions.begin() + static_cast<std::ptrdiff_t>(end)}};
-        const auto answer =
+        const auto reply =
             co_await m_links.request(name, m_server->own_view().m_epoch,
-                                     question, m_time.now() + copy_patience);
-        const auto* entries =
-            answer && answer->m_status == frame_status::ok
-                ? std::get_if<entries_message>(&answer->m_body)
-                : nullptr;
+                                     request, m_time.now() + copy_timeout);
+        const auto* entries = reply && reply->m_status == frame_status::ok
+                                  ? std::get_if<entries_message>(&reply->m_body)
+                                  : nullptr;
         if (entries == nullptr || entries->m_entries.size() < end - begin)
             co_return false;
         m_server->take_encoded(entries->m_entries);
@@ -210,15 +212,15 @@
     const auto begun = m_time.now();
     while (more)
     {
-        const frame_body question = list_message{from, gathered};
-        const auto answer =
+        const frame_body request = list_message{from, gathered};
+        const auto reply =
             co_await m_links.request(name, m_server->own_view().m_epoch,
-                                     question, m_time.now() + copy_patience);
-        if (answer && answer->m_status == frame_status::stale &&
-            answer->m_epoch < epoch)
+                                     request, m_time.now() + copy_timeout);
+        if (reply && reply->m_status == frame_status::stale &&
+            reply->m_epoch < epoch)
             m_links.send_view(name, m_server->own_view());
-        const auto* page = answer && answer->m_status == frame_status::ok
-                               ? std::get_if<listed_message>(&answer->m_body)
+        const auto* page = reply && reply->m_status == frame_status::ok
+                               ? std::get_if<listed_message>(&reply->m_body)
                                : nullptr;
         if (page == nullptr || m_server->own_view().m_epoch != epoch)
             co_return false;
@@ -238,9 +240,9 @@
     if (!co_await m_server->synced())
         co_return false;
     const frame_body done = copied_message{};
-    const auto answer = co_await m_links.request(name, epoch, done,
-                                                 m_time.now() + copy_patience);
-    if (!answer || answer->m_status != frame_status::ok)
+    const auto reply = co_await m_links.request(name, epoch, done,
+                                                m_time.now() + copy_timeout);
+    if (!reply || reply->m_status != frame_status::ok)
         co_return false;
     LOG(INFO) << "event=copied_all from=" << name << " epoch=" << epoch
               << " turns=" << copied
@@ -292,18 +294,18 @@
 
 void storage_node::detect_isolation()
 {
-    std::uint32_t unheard = 0;
+    std::uint32_t unreachable = 0;
     const auto now = m_time.now();
     for (const auto& row : m_server->own_view().m_members)
     {
         if (row.m_name != m_settings.m_name &&
             row.m_state != member_state::lost &&
-            now - m_links.last_seen(row.m_name) > isolation_limit)
-            ++unheard;
+            now - m_links.last_seen(row.m_name) > isolation_timeout)
+            ++unreachable;
     }
-    // More than may be lost at once: it is this VM that was cut off.
-    if (unheard > m_settings.m_disk_losses)
-        m_isolated_until = now + silence_limit;
+    // More members than may be lost at once: this VM itself is partitioned.
+    if (unreachable > m_settings.m_disk_losses)
+        m_isolated_until = now + unresponsive_timeout;
 }
 
 } // namespace pepperturn
--- a/src/fleet/storage_node.cpp
+++ b/src/fleet/storage_node.cpp
@@ -12,25 +12,25 @@
 
 /// A sixteenth of the smallest disk, so that space comes back in steps.
 constexpr std::uint32_t segment_bytes = 16U << 20U;
-constexpr milliseconds beat_interval{500};
+constexpr milliseconds heartbeat_interval{500};
 constexpr milliseconds expiry_interval{2000};
-/// Of the tolerances for limits that are given out, see limiter_settings.
-constexpr double spare_share = 0.9;
+/// Shares of the tolerances for limits that owners grant, see limiter_settings.
+constexpr double slack_share = 0.9;
 constexpr double excess_share = 0.75;
-/// Edge VMs that start beside this one ask for what it knows, and can serve
+/// Edge VMs starting at the same time request this VM's state, and can serve
 /// nothing before; a configuration of a thousand routes takes a tenth of a
-/// second to read on a small share of a core.
-constexpr milliseconds first_answers{30};
-/// The loop has its turn after each stretch that is read of the disk; all
-/// pauses together are some tens of milliseconds.
+/// second to decode on a small share of a core.
+constexpr milliseconds first_replies_delay{30};
+/// Pause after each chunk read from disk, so that the event loop can run; all
+/// pauses together take some tens of milliseconds.
 constexpr milliseconds load_pause{1};
-/// A storage VM that is no seed hears of the fleet from one by then; else it
-/// takes part in founding it.
-constexpr milliseconds founders_patience{5000};
-/// Answers under way go out before the process ends.
+/// A storage VM that is not a seed has learned of the fleet from one by then;
+/// otherwise it takes part in the bootstrap.
+constexpr milliseconds bootstrap_timeout{5000};
+/// Replies in flight are sent before the process ends.
 constexpr milliseconds stop_linger{150};
 
-std::uint64_t draw_identity()
+std::uint64_t random_identity()
 {
     std::random_device device;
     std::uint64_t value = 0;
@@ -51,7 +51,7 @@
       m_links(io, time, settings.m_name),
       m_config_fetcher(
           io, time, m_links, settings.m_availability_zone,
-          [this](const cluster_state& news) { apply_state(news); }),
+          [this](const cluster_state& update) { apply_state(update); }),
       m_decoders(std::move(decoders)),
       m_freshness_poller(
           io, time, m_links,
@@ -63,7 +63,7 @@
            true}),
       m_staleness_limits{milliseconds(settings.m_revoke_ms),
                          milliseconds(settings.m_apply_ms)},
-      m_limiter({.m_slack = spare_share * settings.m_quota_slack,
+      m_limiter({.m_slack = slack_share * settings.m_quota_slack,
                  .m_excess = excess_share * settings.m_quota_excess}),
       m_placements(time, settings.m_zones)
 {}
@@ -78,8 +78,8 @@
     asio::post(m_loader, [this] {
         bool damaged = false;
         std::string reason;
-        // On one core it would hold up the loop for as long as it reads, and
-        // with it all that ask what this VM knows of the world.
+        // On one core, reading without pauses would block the loop, and with
+        // it all VMs that request this VM's state.
         const auto pause = [] { std::this_thread::sleep_for(load_pause); };
         if (m_store->load(m_time.now(), damaged, reason, pause))
             reason.clear();
@@ -95,7 +95,8 @@
     std::string fault = reason;
     if (damaged && fault.empty())
     {
-        // What it lacks may have counted: it joins like an empty disk.
+        // Lost records may have been needed for a quorum: the VM joins as with
+        // an empty disk.
         LOG(ERROR) << "event=disk_damaged disk=" << m_disk;
         if (m_log->set_identity(m_fresh_disk, fault))
             m_disk = m_fresh_disk;
@@ -126,7 +127,7 @@
     }
     if (!m_server->listen(frames, reason))
         return false;
-    // After what the VM is for, should both name the same port.
+    // After the frames' listener, which has priority if both name one port.
     m_status.listen_optional(m_settings.m_metrics_address);
     return true;
 }
@@ -139,10 +140,10 @@
         write_metric(out, "turns", m_store->turn_count());
         write_metric(out, "programs", m_store->program_count());
     }
-    const auto heard = last_store_contact();
-    if (heard != instant{})
+    const auto last_contact = last_store_contact();
+    if (last_contact != instant{})
         write_metric(out, "store_age_ms",
-                     static_cast<std::uint64_t>((m_time.now() - heard) /
+                     static_cast<std::uint64_t>((m_time.now() - last_contact) /
                                                 milliseconds(1)));
     write_metric(out, "watching_store", m_source.running() ? 1 : 0);
     write_metric(out, "limited_workspaces", m_limiter.size());
@@ -162,7 +163,7 @@
     m_started = m_time.now();
     m_log = std::make_unique<turn_log>(m_settings.m_data_folder, segment_bytes);
     m_store = std::make_unique<turn_store>(*m_log);
-    m_fresh_disk = draw_identity();
+    m_fresh_disk = random_identity();
     const auto identity = m_log->identity(m_fresh_disk, reason);
     if (!identity)
         return false;
@@ -182,36 +183,37 @@
         if (!change.m_evacuations.empty())
             m_placements.evacuate(evacuated_zones(m_server->state()));
     });
-    m_server->on_question([this](std::uint64_t asker,
-                                 const frame_body& question,
+    m_server->on_question([this](std::uint64_t requester,
+                                 const frame_body& request,
                                  const turn_server::reply& reply) {
-        return handle_request(asker, question, reply);
+        return handle_request(requester, request, reply);
     });
-    m_server->on_gone([this](std::uint64_t asker) {
-        m_placements.release_connection(asker);
+    m_server->on_gone([this](std::uint64_t requester) {
+        m_placements.release_connection(requester);
     });
     m_links.on_hello([this] { return m_server->state().m_runners_revision; });
     m_links.on_state(
-        [this](const std::string& from, const cluster_state& news) {
-            apply_state(news);
-            m_source.merge_remote_state(news);
-            m_config_fetcher.note_announced(from, news.m_config_revision);
+        [this](const std::string& from, const cluster_state& update) {
+            apply_state(update);
+            m_source.merge_remote_state(update);
+            m_config_fetcher.note_announced(from, update.m_config_revision);
         });
-    m_source.on_state([this](const cluster_state& news) { apply_state(news); });
+    m_source.on_state(
+        [this](const cluster_state& update) { apply_state(update); });
     m_server->load_state();
-    // What is on the disk says whose the limits were until now.
-    const auto& kept = m_server->state();
+    // The stored views tell which VMs owned the limits until now.
+    const auto& stored = m_server->state();
     m_owners = restore_knowledge(
-        kept.m_views, kept.m_settled_epoch == newest_epoch(kept), m_started,
-        m_staleness_limits.m_max_revoke_delay);
-    // An entry that lapsed while every VM was down has time to come back.
+        stored.m_views, stored.m_settled_epoch == newest_epoch(stored),
+        m_started, m_staleness_limits.m_max_revoke_delay);
+    // An entry that expired while all VMs were down has time to be renewed.
     m_source.merge_remote_state(m_server->state());
     if (m_settings.m_bootstrap && m_server->state().m_views.empty())
         m_source.await_bootstrap();
-    // In a large fleet that starts anew, the watchers alone read the store.
+    // In a large fleet that restarts, only the watchers read the store.
     if (m_watch_order.size() > m_settings.m_kept_links)
         choose_watching();
-    // Seeds found the fleet, and tell the others.
+    // Seeds bootstrap the fleet, and send their state to the others.
     else if (may_bootstrap() || !m_watch_order.empty())
         m_source.start();
     else
@@ -223,14 +225,14 @@
 
 task<> storage_node::load_first_config()
 {
-    co_await sleep_for(m_io, first_answers);
+    co_await sleep_for(m_io, first_replies_delay);
     m_answering = true;
     update_config();
 }
 
-void storage_node::apply_state(const cluster_state& news)
+void storage_node::apply_state(const cluster_state& update)
 {
-    m_server->take_state(news);
+    m_server->take_state(update);
     m_config_fetcher.note_known(m_server->state().m_config_revision);
 }
 
@@ -243,15 +245,16 @@
                               std::min(m_watch_order.size(), watch_candidates));
     m_update_sources =
         storage_sources(members, m_settings.m_name, m_settings.m_kept_links);
-    // The watchers' beats tell how old the news are, whoever passes them on.
-    std::set<std::string> heard(m_watch_order.begin(), watchers);
-    heard.insert(m_update_sources.begin(), m_update_sources.end());
-    std::vector<member> wanted;
+    // The watchers' heartbeats carry the age of the state, whichever VM
+    // forwards the updates.
+    std::set<std::string> required(m_watch_order.begin(), watchers);
+    required.insert(m_update_sources.begin(), m_update_sources.end());
+    std::vector<member> targets;
     for (const auto& row : members)
     {
         if (find_member(m_server->own_view(), row.m_name) != nullptr ||
-            heard.contains(row.m_name))
-            wanted.push_back(row);
+            required.contains(row.m_name))
+            targets.push_back(row);
     }
     const auto takeover = m_staleness_limits.m_max_revoke_delay;
     if (!apply_views(m_owners, m_server->state().m_views, m_time.now(),
@@ -259,22 +262,23 @@
         LOG(WARNING) << "event=views_missed owners=unknown for_ms="
                      << takeover.count();
     choose_update_sources();
-    m_links.set_members(wanted);
+    m_links.set_members(targets);
     m_config_fetcher.set_members(members);
 }
 
 void storage_node::choose_update_sources()
 {
-    const bool silent = std::none_of(
+    const bool all_unreachable = std::none_of(
         m_update_sources.begin(), m_update_sources.end(),
         [this](const auto& name) { return m_links.may_reach(name); });
-    // All that pass the news on in this zone are away: the watchers tell.
+    // If no update source of this zone is reachable, subscribe to the watchers.
     const auto watchers = std::min(m_watch_order.size(), watch_candidates);
-    m_links.subscribe(silent ? std::vector<std::string>(
-                                   m_watch_order.begin(),
-                                   m_watch_order.begin() +
-                                       static_cast<std::ptrdiff_t>(watchers))
-                             : m_update_sources);
+    m_links.subscribe(
+        all_unreachable
+            ? std::vector<std::string>(
+                  m_watch_order.begin(),
+                  m_watch_order.begin() + static_cast<std::ptrdiff_t>(watchers))
+            : m_update_sources);
 }
 
 bool storage_node::may_bootstrap() const
@@ -283,7 +287,7 @@
     return !m_settings.m_bootstrap || seeds.empty() ||
            std::find(seeds.begin(), seeds.end(), m_settings.m_frames_address) !=
                seeds.end() ||
-           m_time.now() - m_started >= founders_patience;
+           m_time.now() - m_started >= bootstrap_timeout;
 }
 
 watch_facts storage_node::gather_watch_facts()
@@ -312,17 +316,17 @@
 
 void storage_node::choose_watching()
 {
-    // Before there are views, nobody can tell whom to hear.
+    // Before there are views, no watch order is known.
     const auto facts = gather_watch_facts();
-    const bool wanted =
+    const bool should_run =
         m_watch_order.empty() ? may_bootstrap() : should_watch(facts);
-    if (wanted == m_source.running())
+    if (should_run == m_source.running())
         return;
-    LOG(INFO) << "event=watching_chosen watching=" << wanted
+    LOG(INFO) << "event=watching_chosen watching=" << should_run
               << " position=" << facts.m_position.value_or(m_watch_order.size())
               << " fresh_watchers=" << facts.m_fresh_watchers
               << " too_few_for_ms=" << facts.m_too_few_for.count();
-    if (wanted)
+    if (should_run)
         m_source.start();
     else
         m_source.pause();
@@ -331,7 +335,7 @@
 instant storage_node::last_store_contact() const
 {
     const auto own = m_source.synced() ? m_source.last_contact() : instant{};
-    // Only from those that watch: what others pass on would go in circles.
+    // Only from watchers: times forwarded by others would circulate.
     return std::max(own, m_links.store_last_watched());
 }
 
@@ -346,12 +350,12 @@
     m_placements.tick();
     if (now >= m_next_heartbeat)
     {
-        m_next_heartbeat = now + beat_interval;
+        m_next_heartbeat = now + heartbeat_interval;
         m_source.record_remote_contact(m_links.store_last_watched());
         const auto age = std::chrono::duration_cast<milliseconds>(
             now - last_store_contact());
-        constexpr milliseconds most{UINT32_MAX};
-        m_server->send_beat(std::min(age, most), m_source.running());
+        constexpr milliseconds max_age{UINT32_MAX};
+        m_server->send_beat(std::min(age, max_age), m_source.running());
     }
     if (now >= m_next_expiry)
     {
--- a/src/fleet/storage_placements.cpp
+++ b/src/fleet/storage_placements.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// A service whose places nobody has asked for here for this long is asked for
-/// elsewhere.
-constexpr milliseconds asked_memory{10000};
+/// A service without placement requests for this long is treated as assigned
+/// by another storage VM.
+constexpr milliseconds request_retention{10000};
 
-/// Decisions that nobody asks for are dropped beyond this many; their places
-/// come back by themselves. More calls than one service has in line.
-constexpr std::size_t most_decided = 4096;
+/// Decisions that no call has asked for are dropped beyond this many; their
+/// placements expire by themselves. More than one service's queue holds.
+constexpr std::size_t max_decided = 4096;
 
 } // namespace
 
@@ -69,7 +69,7 @@
 {
     const auto now = m_time.now();
     std::erase_if(m_requested, [&](const auto& entry) {
-        return now - entry.second > asked_memory;
+        return now - entry.second > request_retention;
     });
     std::vector<std::uint64_t> services;
     for (const auto& [name, row] : m_engines)
@@ -118,18 +118,18 @@
     {
         if (hash64(name) != service)
             continue;
-        // It may have been followed, and dropped since.
+        // Its engines may have been set before, and dropped since.
         m_outdated.insert(name);
         refresh(name);
     }
 }
 
-void storage_placements::record_requester(std::uint64_t asker,
-                                          const placement_request& question)
+void storage_placements::record_requester(std::uint64_t requester,
+                                          const placement_request& request)
 {
-    forget_call(question.m_call);
-    m_open_calls[asker][question.m_call] = question.m_service;
-    m_requesters[question.m_call] = asker;
+    forget_call(request.m_call);
+    m_open_calls[requester][request.m_call] = request.m_service;
+    m_requesters[request.m_call] = requester;
 }
 
 void storage_placements::forget_call(std::uint64_t call)
@@ -146,9 +146,9 @@
         m_open_calls.erase(row);
 }
 
-void storage_placements::release_connection(std::uint64_t asker)
+void storage_placements::release_connection(std::uint64_t requester)
 {
-    const auto found = m_open_calls.find(asker);
+    const auto found = m_open_calls.find(requester);
     if (found == m_open_calls.end())
         return;
     const auto calls = std::move(found->second);
@@ -158,7 +158,7 @@
     {
         m_requesters.erase(call);
         m_waiters.erase(call);
-        // That its caller has gone says nothing of the engine.
+        // A closed connection says nothing about the engine's health.
         placement_report ended;
         ended.m_service = service;
         ended.m_call = call;
@@ -168,45 +168,45 @@
     send_decisions();
 }
 
-void storage_placements::handle_request(std::uint64_t asker,
-                                        const placement_request& question,
+void storage_placements::handle_request(std::uint64_t requester,
+                                        const placement_request& request,
                                         const turn_server::reply& reply)
 {
-    record_service_request(question.m_service);
-    record_requester(asker, question);
-    if (question.m_already_queued)
+    record_service_request(request.m_service);
+    record_requester(requester, request);
+    if (request.m_already_queued)
     {
-        await_decision(question, reply);
+        await_decision(request, reply);
         return;
     }
-    auto located = question;
-    located.m_region = region_of(m_zones, question.m_availability_zone);
-    auto answer = m_placements.request_placement(located, m_time.now());
-    if (!answer)
+    auto located = request;
+    located.m_region = region_of(m_zones, request.m_availability_zone);
+    auto decision = m_placements.request_placement(located, m_time.now());
+    if (!decision)
     {
-        answer.emplace();
-        answer->m_outcome = placement_outcome::waiting;
+        decision.emplace();
+        decision->m_outcome = placement_outcome::waiting;
     }
-    ++m_reply_counts.at(static_cast<std::size_t>(answer->m_outcome));
-    if (answer->m_outcome == placement_outcome::no_room ||
-        answer->m_outcome == placement_outcome::not_placing)
-        forget_call(question.m_call);
-    reply(*answer);
+    ++m_reply_counts.at(static_cast<std::size_t>(decision->m_outcome));
+    if (decision->m_outcome == placement_outcome::no_room ||
+        decision->m_outcome == placement_outcome::not_placing)
+        forget_call(request.m_call);
+    reply(*decision);
 }
 
-void storage_placements::await_decision(const placement_request& question,
+void storage_placements::await_decision(const placement_request& request,
                                         const turn_server::reply& reply)
 {
     send_decisions();
-    const auto found = m_decided.find(question.m_call);
+    const auto found = m_decided.find(request.m_call);
     if (found != m_decided.end())
     {
         reply(found->second);
         m_decided.erase(found);
         return;
     }
-    const milliseconds patience(question.m_queue_timeout_ms);
-    m_waiters[question.m_call] = {reply, m_time.now() + patience};
+    const milliseconds timeout(request.m_queue_timeout_ms);
+    m_waiters[request.m_call] = {reply, m_time.now() + timeout};
 }
 
 void storage_placements::handle_report(const placement_report& report)
@@ -228,7 +228,7 @@
             m_waiters.erase(found);
             continue;
         }
-        if (m_decided.size() >= most_decided)
+        if (m_decided.size() >= max_decided)
             m_decided.clear();
         m_decided[row.m_call] = row.m_reply;
     }
