--- a/src/fleet/status_server.cpp
+++ b/src/fleet/status_server.cpp
@@ -63,8 +63,8 @@
 {
     boost::beast::tcp_stream stream(std::move(socket));
     boost::beast::flat_buffer buffer;
-    bool keep_alive = true;
-    while (keep_alive)
+    bool keep_open = true;
+    while (keep_open)
     {
         error_code ec;
         http::request<http::string_body> request;
@@ -79,11 +79,11 @@
         else
             response.result(m_ready() ? http::status::ok
                                       : http::status::service_unavailable);
-        keep_alive = request.keep_alive();
-        response.keep_alive(keep_alive);
+        keep_open = request.keep_alive();
+        response.keep_alive(keep_open);
         response.prepare_payload();
         co_await http::async_write(stream, response, into(ec));
-        keep_alive = keep_alive && !ec;
+        keep_open = keep_open && !ec;
     }
     stream.close();
 }
--- a/test/fleet/test_budget_calls.cpp
+++ b/test/fleet/test_budget_calls.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Budgets of programs whose callers bring their whole history: nothing of
-// theirs is kept but what they have spent.
+// Budgets of programs whose callers send their full history: only the spent
+// tokens are stored.
 #include "support/fleet/proxy_fixture.hpp"
 #include "support/fleet/storage_fixture.hpp"
 
@@ -12,10 +12,10 @@
 constexpr std::uint32_t event_tokens = 8;
 
 /// Storage VMs, and a proxy whose engines give eight tokens an event.
-class budget_world : public storage_fixture, public proxy_fixture
+class budget_fixture : public storage_fixture, public proxy_fixture
 {
 public:
-    budget_world() : proxy_fixture(storage_fixture::m_io, m_client)
+    budget_fixture() : proxy_fixture(storage_fixture::m_io, m_client)
     {
         start_three();
         auto config = proxy_fixture::config(2);
@@ -53,9 +53,9 @@
 
 TEST_CASE("a budget holds where callers bring their history", "[proxy]")
 {
-    // Only routes that keep turns once reserved: such programs spent four
-    // times what they might.
-    budget_world edge;
+    // If only routes that store turns reserved tokens, such programs would
+    // spend a multiple (four times) of their budget.
+    budget_fixture edge;
     edge.m_first.script({{event_answer({"a", "b", "c"})}});
     edge.m_second.script({{event_answer({"a", "b", "c"})}});
     const auto runs = [&] {
@@ -70,25 +70,25 @@
 
 TEST_CASE("turns that name no program share no budget", "[proxy]")
 {
-    budget_world edge;
+    budget_fixture edge;
     edge.m_first.script({{event_answer({"a", "b", "c"})}});
     edge.m_second.script({{event_answer({"a", "b", "c"})}});
     for (const char* id : {"t1", "t2", "t3"})
         CHECK(has(edge.ask_turn(id, "30", "100,24", {}, ""), "HTTP/1.1 200 "));
 }
 
-TEST_CASE("what a call did not hand out is given back", "[proxy]")
+TEST_CASE("tokens that a call did not deliver are released", "[proxy]")
 {
-    budget_world edge;
+    budget_fixture edge;
     const runner_step one{event_answer({"a"})};
     const runner_step full{whole_answer(503, "", "Pepperturn-Not-Run: 1\r\n")};
-    const runner_step cut{event_answer({"a"}, false), true,
-                          runner_step::after::close};
-    edge.m_first.script({one, cut, full, one});
+    const runner_step aborted{event_answer({"a"}, false), true,
+                              runner_step::after::close};
+    edge.m_first.script({one, aborted, full, one});
     edge.m_second.script({full});
     edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
-    // Each may take 24: 8 were handed out, 8 by a cut stream, none by a
+    // Each may use 24: 8 were delivered, 8 by an aborted stream, none by a
     // refused one.
     CHECK(has(edge.ask_turn("t1", "40"), "HTTP/1.1 200 "));
     (void)edge.ask_turn("t2", "40");
@@ -97,7 +97,7 @@
     CHECK(has(edge.ask_turn("t5", "40"), "HTTP/1.1 402 "));
 }
 
-TEST_CASE("budgets and counts that are none are refused, nothing is reserved",
+TEST_CASE("invalid budgets and counts are refused, nothing is reserved",
           "[proxy]")
 {
     struct sample
@@ -111,7 +111,7 @@
         {"60", "100"},           {"60", ""},
         {"60", "100,-1"},        {"60", "100,24,24"},
         {"60", "100,5000000000"}};
-    budget_world edge;
+    budget_fixture edge;
     edge.m_first.script({{event_answer({"a"})}});
     for (const auto& each : samples)
     {
@@ -123,10 +123,11 @@
     CHECK(has(edge.ask_turn("good", "24"), "HTTP/1.1 200 "));
 }
 
-TEST_CASE("turns go where the turn before was read, through any VM", "[proxy]")
+TEST_CASE("turns go to the engine of the previous turn, through any VM",
+          "[proxy]")
 {
-    // Spread by load alone, each turn had its whole history read anew.
-    budget_world edge;
+    // Spread by load alone, each turn's whole history is processed again.
+    budget_fixture edge;
     edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 64, false},
          {"r2", "svc", edge.m_second.address(), "z", 64, false}});
--- a/test/fleet/test_config_fetcher.cpp
+++ b/test/fleet/test_config_fetcher.cpp
@@ -10,8 +10,8 @@
 using namespace pepperturn;
 using namespace pepperturn::test;
 
-/// Storage VMs that only say that they have a configuration, and leave the
-/// first questions unanswered.
+/// A storage VM that announces a configuration, and does not reply to the first
+/// requests for it.
 class announcer
 {
 public:
@@ -32,19 +32,19 @@
         return "127.0.0.1:" +
                std::to_string(m_acceptor.local_endpoint().port());
     }
-    [[nodiscard]] std::size_t asked() const
+    [[nodiscard]] std::size_t request_count() const
     {
         return m_asked;
     }
     void answer_late()
     {
-        answer();
+        reply();
     }
     void announce()
     {
-        cluster_state told;
-        told.m_config_revision = 7;
-        m_link->send({0, 0, frame_status::ok, std::move(told)});
+        cluster_state message;
+        message.m_config_revision = 7;
+        m_link->send({0, 0, frame_status::ok, std::move(message)});
     }
     void lose()
     {
@@ -65,14 +65,14 @@
             return;
         m_last_call = value.m_call;
         if (++m_asked > m_deaf_to)
-            answer();
+            reply();
     }
-    void answer()
+    void reply()
     {
-        cluster_state told;
-        told.m_config_revision = 7;
-        told.m_config = "seven";
-        m_link->send({m_last_call, 0, frame_status::ok, std::move(told)});
+        cluster_state message;
+        message.m_config_revision = 7;
+        message.m_config = "seven";
+        m_link->send({m_last_call, 0, frame_status::ok, std::move(message)});
     }
 
     asio::io_context& m_io;
@@ -90,14 +90,14 @@
         : m_near(m_io, near_deaf_to), m_far(m_io, far_deaf_to),
           m_links(m_io, m_time, "edge"),
           m_fetcher(m_io, m_time, m_links, "z",
-                    [this](const cluster_state& news) {
-                        m_config = news.m_config;
-                        m_fetcher.note_known(news.m_config_revision);
+                    [this](const cluster_state& update) {
+                        m_config = update.m_config;
+                        m_fetcher.note_known(update.m_config_revision);
                     })
     {
         m_links.on_state(
-            [this](const std::string& from, const cluster_state& news) {
-                m_fetcher.note_announced(from, news.m_config_revision);
+            [this](const std::string& from, const cluster_state& update) {
+                m_fetcher.note_announced(from, update.m_config_revision);
             });
         const cluster_view view{
             1,
@@ -123,7 +123,7 @@
 
 } // namespace
 
-TEST_CASE("an announced configuration is asked for until it comes",
+TEST_CASE("an announced configuration is requested until it arrives",
           "[config_fetcher]")
 {
     struct row
@@ -131,37 +131,37 @@
         const char* m_what;
         std::size_t m_near_deaf_to;
         std::size_t m_far_deaf_to;
-        std::size_t m_far_asked_at_most;
+        std::size_t m_max_far_requests;
     };
     const auto each = GENERATE(values<row>({
         {"the own zone has it", 0, 0, 0},
         {"the own zone does not answer", 99, 0, 1},
-        {"nobody answers at first", 2, 2, 99},
+        {"no member replies at first", 2, 2, 99},
     }));
     INFO(each.m_what);
     follower vm(each.m_near_deaf_to, each.m_far_deaf_to);
     CHECK(vm.wait_for_config());
-    CHECK(vm.m_near.asked() > 0);
-    CHECK(vm.m_far.asked() <= each.m_far_asked_at_most);
+    CHECK(vm.m_near.request_count() > 0);
+    CHECK(vm.m_far.request_count() <= each.m_max_far_requests);
 }
 
-TEST_CASE("a configuration that comes late is taken", "[config_fetcher]")
+TEST_CASE("a configuration that arrives late is applied", "[config_fetcher]")
 {
     follower vm(99, 99);
     REQUIRE(run_until(vm.m_io, [&] {
-        return vm.m_near.asked() > 0 && vm.m_far.asked() > 0;
+        return vm.m_near.request_count() > 0 && vm.m_far.request_count() > 0;
     }));
     vm.m_near.answer_late();
     CHECK(vm.wait_for_config(milliseconds(1000)));
 }
 
-TEST_CASE("one configuration is asked for, however many announce it",
+TEST_CASE("a configuration is requested once, however many announce it",
           "[config_fetcher]")
 {
-    // At the start of a fleet each VM asked four storage VMs, and the copies
-    // filled its link for four times as long.
+    // If each VM requested it from several storage VMs at a fleet's start, four
+    // copies would fill its link for four times as long.
     follower vm(99, 99);
-    REQUIRE(run_until(vm.m_io, [&] { return vm.m_near.asked() > 0; }));
+    REQUIRE(run_until(vm.m_io, [&] { return vm.m_near.request_count() > 0; }));
     const milliseconds several_round_trips{100};
     for (int i = 0; i < 3; ++i)
     {
@@ -170,21 +170,21 @@
         vm.m_io.restart();
         vm.m_io.run_for(several_round_trips / 3);
     }
-    CHECK(vm.m_near.asked() + vm.m_far.asked() == 1);
+    CHECK(vm.m_near.request_count() + vm.m_far.request_count() == 1);
     vm.m_near.answer_late();
     CHECK(vm.wait_for_config(milliseconds(1000)));
 }
 
-TEST_CASE("a configuration is asked for elsewhere as soon as a member is lost",
+TEST_CASE("a configuration is requested elsewhere as soon as a member is lost",
           "[config_fetcher]")
 {
     follower vm(99, 0);
-    REQUIRE(run_until(vm.m_io, [&] { return vm.m_near.asked() > 0; }));
+    REQUIRE(run_until(vm.m_io, [&] { return vm.m_near.request_count() > 0; }));
     // The other one has announced it by then.
     vm.m_io.run_for(milliseconds(50));
     const auto lost = vm.m_time.now();
     vm.m_near.lose();
     REQUIRE(vm.wait_for_config());
-    // Not only once it has been waited for: that takes 400 ms.
+    // Sooner than the request timeout of 400 ms.
     CHECK(elapsed(lost, vm.m_time.now()) < milliseconds(300));
 }
--- a/test/fleet/test_disruptions.cpp
+++ b/test/fleet/test_disruptions.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// What edge VMs that change, sleep or lose their connections do to turns:
-// none is lost, none counts twice.
+// Turns when callers change edge VMs, or edge VMs freeze or lose connections:
+// none is lost, none is counted twice.
 #include "support/fleet/storage_fixture.hpp"
 
 #include <catch2/catch.hpp>
@@ -17,10 +17,11 @@
         : m_links(fleet.m_io, fleet.m_time, "edge-2"),
           m_client(fleet.m_io, fleet.m_time, m_links, zone, 1)
     {
-        m_links.on_state([this](const std::string&, const cluster_state& news) {
-            if (!merge_state(m_state, news).m_views.empty())
-                follow();
-        });
+        m_links.on_state(
+            [this](const std::string&, const cluster_state& update) {
+                if (!merge_state(m_state, update).m_views.empty())
+                    follow();
+            });
     }
     void follow()
     {
@@ -44,7 +45,7 @@
     return *result;
 }
 
-/// Tokens of other attempts, as the reason of a begin tells them.
+/// Whether the reason of a begin reports \p tokens as committed.
 bool committed(const begin_result& result, int tokens)
 {
     return result.m_reason.find("committed=" + std::to_string(tokens) + " ") !=
@@ -77,7 +78,7 @@
     REQUIRE(fleet.keep("a", ""));
     second_edge frozen(fleet, "vm-0");
     frozen.m_state = fleet.m_state;
-    // Whatever it hears of from now on, it hears by asking.
+    // From now on it learns of changes only from replies.
     frozen.m_links.subscribe({});
     frozen.follow();
     REQUIRE(run_until(fleet.m_io, [&] {
@@ -94,7 +95,8 @@
     CHECK(frozen.m_state.m_views == fleet.m_state.m_views);
 }
 
-TEST_CASE("a turn that is kept again after a reset counts once", "[fleet]")
+TEST_CASE("a turn that is stored again after a reset is counted once",
+          "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
--- a/test/fleet/test_frame_link.cpp
+++ b/test/fleet/test_frame_link.cpp
@@ -27,10 +27,9 @@
 
 } // namespace
 
-TEST_CASE("a link may be dropped right after it was told to send",
-          "[frame_link]")
+TEST_CASE("a link may be destroyed right after a send", "[frame_link]")
 {
-    // The write began later than that and used the link that was gone.
+    // A write that starts after that must not use the destroyed link.
     asio::io_context io(1);
     for (int i = 0; i < 20; ++i)
     {
@@ -48,7 +47,7 @@
     }
 }
 
-TEST_CASE("frames pass in order however they are cut", "[frame_link]")
+TEST_CASE("frames arrive in order however they are split", "[frame_link]")
 {
     asio::io_context io(1);
     connected_pair pair(io);
@@ -72,7 +71,7 @@
     CHECK(names == std::vector<std::string>{"a", "b", "c"});
 }
 
-TEST_CASE("bytes that are no frame end the link", "[frame_link]")
+TEST_CASE("malformed frames close the link", "[frame_link]")
 {
     const std::string bytes = GENERATE(std::string("\xff\xff\xff\xff", 4),
                                        std::string("\x08\0\0\0nonsense", 12),
--- a/test/fleet/test_member_links.cpp
+++ b/test/fleet/test_member_links.cpp
@@ -8,10 +8,10 @@
 using namespace pepperturn;
 using namespace pepperturn::test;
 
-/// A storage VM that is in no set, and one that listens to it.
-struct told_world
+/// A storage VM that is in no set, and a VM that subscribes to it.
+struct update_fixture
 {
-    told_world()
+    update_fixture()
         : m_log(m_fleet.m_folder + "/told", 1U << 20U), m_store(m_log),
           m_server(m_fleet.m_io, m_fleet.m_time, "vm-9", m_log, m_store),
           m_links(m_fleet.m_io, m_fleet.m_time, "edge")
@@ -23,40 +23,41 @@
                                 reason));
         m_members = {{"vm-9", "127.0.0.1:" + std::to_string(port), "z", 7,
                       member_state::full}};
-        m_links.on_state([this](const std::string&, const cluster_state& news) {
-            ++m_told;
-            m_entries += news.m_runners.size();
-            merge_state(m_state, news);
-        });
+        m_links.on_state(
+            [this](const std::string&, const cluster_state& update) {
+                ++m_update_count;
+                m_entries += update.m_runners.size();
+                merge_state(m_state, update);
+            });
     }
-    ~told_world()
+    ~update_fixture()
     {
         m_server.stop();
         m_links.stop();
     }
-    told_world(const told_world&) = delete;
-    told_world& operator=(const told_world&) = delete;
+    update_fixture(const update_fixture&) = delete;
+    update_fixture& operator=(const update_fixture&) = delete;
 
-    void tell(std::uint64_t revision)
+    void send_update(std::uint64_t revision)
     {
-        cluster_state news;
-        news.m_config_revision = revision;
-        news.m_config = "configuration " + std::to_string(revision);
-        m_server.take_state(news);
+        cluster_state update;
+        update.m_config_revision = revision;
+        update.m_config = "configuration " + std::to_string(revision);
+        m_server.take_state(update);
     }
     bool wait_for(const std::function<bool()>& done)
     {
         return run_until(m_fleet.m_io, done, milliseconds(3000));
     }
-    /// Whatever either side sent before has come: frames keep their order.
+    /// Everything sent before by either side has arrived: frames keep order.
     void sync()
     {
-        const auto answer =
+        const auto reply =
             run_task(m_fleet.m_io,
                      m_links.request("vm-9", 0, fetch_message{"none"},
                                      m_fleet.m_time.now() + default_timeout));
-        REQUIRE(answer.has_value());
-        REQUIRE(answer->has_value());
+        REQUIRE(reply.has_value());
+        REQUIRE(reply->has_value());
     }
 
     storage_fixture m_fleet;
@@ -66,39 +67,40 @@
     member_links m_links;
     std::vector<member> m_members;
     cluster_state m_state;
-    int m_told = 0;
-    /// Of runners, in all that was told.
+    int m_update_count = 0;
+    /// Runner entries in all updates received.
     std::size_t m_entries = 0;
 };
 
 } // namespace
 
-TEST_CASE("news come from where they are subscribed to", "[member_links]")
+TEST_CASE("updates come from the subscribed members", "[member_links]")
 {
-    told_world world;
-    world.tell(1);
-    world.m_links.subscribe({});
-    world.m_links.set_members(world.m_members);
-    REQUIRE(world.wait_for([&] { return world.m_links.connected("vm-9"); }));
-    world.tell(2);
-    world.sync();
-    CHECK(world.m_told == 0);
-    // Whoever subscribes is told all that is known, then each change once.
-    world.m_links.subscribe({"vm-9"});
+    update_fixture fixture;
+    fixture.send_update(1);
+    fixture.m_links.subscribe({});
+    fixture.m_links.set_members(fixture.m_members);
     REQUIRE(
-        world.wait_for([&] { return world.m_state.m_config_revision == 2; }));
-    world.tell(3);
-    REQUIRE(
-        world.wait_for([&] { return world.m_state.m_config_revision == 3; }));
-    CHECK(world.m_told == 2);
-    world.m_links.subscribe({});
-    world.sync();
-    world.tell(4);
-    world.sync();
-    CHECK(world.m_told == 2);
+        fixture.wait_for([&] { return fixture.m_links.connected("vm-9"); }));
+    fixture.send_update(2);
+    fixture.sync();
+    CHECK(fixture.m_update_count == 0);
+    // A subscriber receives the full state, then each change once.
+    fixture.m_links.subscribe({"vm-9"});
+    REQUIRE(fixture.wait_for(
+        [&] { return fixture.m_state.m_config_revision == 2; }));
+    fixture.send_update(3);
+    REQUIRE(fixture.wait_for(
+        [&] { return fixture.m_state.m_config_revision == 3; }));
+    CHECK(fixture.m_update_count == 2);
+    fixture.m_links.subscribe({});
+    fixture.sync();
+    fixture.send_update(4);
+    fixture.sync();
+    CHECK(fixture.m_update_count == 2);
 }
 
-TEST_CASE("who watches the store is told by beats", "[member_links]")
+TEST_CASE("heartbeats tell which VMs watch the store", "[member_links]")
 {
     struct row
     {
@@ -112,26 +114,27 @@
         {"it watches", milliseconds(100), true, true, true},
         {"it passes on what a watcher said", milliseconds(100), false, true,
          false},
-        {"it watches and hears nothing", milliseconds(9000), true, false,
-         false},
+        {"it watches and the store does not answer", milliseconds(9000), true,
+         false, false},
     }));
     INFO(each.m_what);
-    told_world world;
-    auto& links = world.m_links;
-    links.set_members(world.m_members);
-    REQUIRE(world.wait_for([&] { return links.connected("vm-9"); }));
-    world.sync();
-    world.m_server.send_beat(each.m_age, each.m_watches);
-    world.sync();
+    update_fixture fixture;
+    auto& links = fixture.m_links;
+    links.set_members(fixture.m_members);
+    REQUIRE(fixture.wait_for([&] { return links.connected("vm-9"); }));
+    fixture.sync();
+    fixture.m_server.send_beat(each.m_age, each.m_watches);
+    fixture.sync();
     CHECK((links.store_last_seen() != instant{}) == each.m_heard);
     CHECK(links.watches_store("vm-9") == each.m_is_watcher);
     CHECK((links.store_last_watched() != instant{}) == each.m_is_watcher);
 }
 
-TEST_CASE("silence counts from when a member is followed", "[member_links]")
+TEST_CASE("a member's timeout counts from when it is followed",
+          "[member_links]")
 {
-    // A VM that had just come into a view counted as silent since the start of
-    // the others' processes, and was put out at once.
+    // A VM that has just joined a view must not be treated as unresponsive
+    // since the start of the others' processes, and removed at once.
     asio::io_context io(1);
     const system_clock time;
     member_links links(io, time, "edge");
@@ -145,45 +148,46 @@
     links.stop();
 }
 
-TEST_CASE("a seed's connection goes on under its name", "[member_links]")
+TEST_CASE("a seed's connection is kept under the member's name",
+          "[member_links]")
 {
-    // All edge VMs that start at once would otherwise connect to the seeds
-    // twice, and be told all that is known twice.
-    told_world world;
-    world.tell(1);
-    world.m_links.connect_seeds({world.m_members.front().m_address});
-    REQUIRE(world.wait_for([&] { return world.m_told == 1; }));
-    world.m_links.subscribe({"vm-9"});
-    world.m_links.set_members(world.m_members);
-    CHECK(world.m_links.connected("vm-9"));
-    world.sync();
-    CHECK(world.m_told == 1);
+    // Otherwise all edge VMs that start at once connect to the seeds twice, and
+    // receive the full state twice.
+    update_fixture fixture;
+    fixture.send_update(1);
+    fixture.m_links.connect_seeds({fixture.m_members.front().m_address});
+    REQUIRE(fixture.wait_for([&] { return fixture.m_update_count == 1; }));
+    fixture.m_links.subscribe({"vm-9"});
+    fixture.m_links.set_members(fixture.m_members);
+    CHECK(fixture.m_links.connected("vm-9"));
+    fixture.sync();
+    CHECK(fixture.m_update_count == 1);
     std::string figures;
-    world.m_server.write_metrics(figures);
+    fixture.m_server.write_metrics(figures);
     CHECK(figures.find("connected_vms 1\n") != std::string::npos);
-    world.tell(2);
-    REQUIRE(
-        world.wait_for([&] { return world.m_state.m_config_revision == 2; }));
+    fixture.send_update(2);
+    REQUIRE(fixture.wait_for(
+        [&] { return fixture.m_state.m_config_revision == 2; }));
 }
 
-TEST_CASE("a seed that is not subscribed to is told so", "[member_links]")
+TEST_CASE("a seed without subscription stops sending updates", "[member_links]")
 {
-    told_world world;
-    world.tell(1);
-    world.m_links.connect_seeds({world.m_members.front().m_address});
-    REQUIRE(world.wait_for([&] { return world.m_told == 1; }));
-    world.m_links.subscribe({});
-    world.m_links.set_members(world.m_members);
-    world.sync();
-    world.tell(2);
-    world.sync();
-    CHECK(world.m_told == 1);
+    update_fixture fixture;
+    fixture.send_update(1);
+    fixture.m_links.connect_seeds({fixture.m_members.front().m_address});
+    REQUIRE(fixture.wait_for([&] { return fixture.m_update_count == 1; }));
+    fixture.m_links.subscribe({});
+    fixture.m_links.set_members(fixture.m_members);
+    fixture.sync();
+    fixture.send_update(2);
+    fixture.sync();
+    CHECK(fixture.m_update_count == 1);
 }
 
 namespace {
 
-/// Members that all listen at one server, and how many connections it has.
-struct many_members : told_world
+/// Members at one server's address, and the number of its connections.
+struct many_members : update_fixture
 {
     explicit many_members(int count)
     {
@@ -204,99 +208,99 @@
 
 } // namespace
 
-TEST_CASE("connections go with what is asked, however many members there are",
+TEST_CASE("connections are made on demand, however many members there are",
           "[member_links]")
 {
     const auto count = GENERATE(20, 80);
-    many_members world(count);
-    world.m_links.set_max_persistent(10);
-    world.m_links.subscribe({"vm-0", "vm-1"});
-    world.m_links.set_members(world.m_members);
-    REQUIRE(world.wait_for([&] { return world.connections() == 2; }));
-    CHECK(world.connections() == 2);
-    CHECK(world.m_links.connected("vm-7"));
-    CHECK(world.m_links.reachable("vm-7"));
-    CHECK_FALSE(world.m_links.reachable_directly("vm-7"));
-    // A question brings its connection, and waits for it.
-    int answers = 0;
+    many_members fixture(count);
+    fixture.m_links.set_max_persistent(10);
+    fixture.m_links.subscribe({"vm-0", "vm-1"});
+    fixture.m_links.set_members(fixture.m_members);
+    REQUIRE(fixture.wait_for([&] { return fixture.connections() == 2; }));
+    CHECK(fixture.connections() == 2);
+    CHECK(fixture.m_links.connected("vm-7"));
+    CHECK(fixture.m_links.reachable("vm-7"));
+    CHECK_FALSE(fixture.m_links.reachable_directly("vm-7"));
+    // A request makes its connection, and waits for it.
+    int replies = 0;
     for (const char* name : {"vm-7", "vm-7", "vm-8"})
-        world.m_links.call(name, 0, want_neighbours_message{},
-                           [&](const std::optional<frame>& answer) {
-                               answers += answer ? 1 : 0;
-                           });
-    CHECK(world.wait_for([&] { return answers == 3; }));
-    CHECK(world.connections() == 4);
+        fixture.m_links.call(name, 0, want_neighbours_message{},
+                             [&](const std::optional<frame>& reply) {
+                                 replies += reply ? 1 : 0;
+                             });
+    CHECK(fixture.wait_for([&] { return replies == 3; }));
+    CHECK(fixture.connections() == 4);
 }
 
-TEST_CASE("a member that is not there is left alone for a while",
-          "[member_links]")
+TEST_CASE("an unreachable member is not retried for a while", "[member_links]")
 {
-    many_members world(20);
-    world.m_members[7].m_address = "127.0.0.1:1";
-    world.m_links.set_max_persistent(10);
-    world.m_links.subscribe({"vm-0"});
-    world.m_links.set_members(world.m_members);
+    many_members fixture(20);
+    fixture.m_members[7].m_address = "127.0.0.1:1";
+    fixture.m_links.set_max_persistent(10);
+    fixture.m_links.subscribe({"vm-0"});
+    fixture.m_links.set_members(fixture.m_members);
     bool ended = false;
     const auto ask = [&] {
         ended = false;
-        world.m_links.call("vm-7", 0, want_neighbours_message{},
-                           [&](const std::optional<frame>& answer) {
-                               ended = true;
-                               CHECK_FALSE(answer);
-                           });
+        fixture.m_links.call("vm-7", 0, want_neighbours_message{},
+                             [&](const std::optional<frame>& reply) {
+                                 ended = true;
+                                 CHECK_FALSE(reply);
+                             });
     };
     ask();
     CHECK_FALSE(ended);
-    CHECK(world.wait_for([&] { return ended; }));
-    CHECK_FALSE(world.m_links.reachable("vm-7"));
-    // Whoever asks meanwhile is told at once.
+    CHECK(fixture.wait_for([&] { return ended; }));
+    CHECK_FALSE(fixture.m_links.reachable("vm-7"));
+    // Requests fail at once meanwhile.
     ask();
     CHECK(ended);
 }
 
-TEST_CASE("a listener that comes back is told what it missed", "[member_links]")
+TEST_CASE("a returning subscriber receives the updates it missed",
+          "[member_links]")
 {
-    told_world world;
+    update_fixture fixture;
     cluster_state all;
     all.m_runners_revision = 10;
     for (int i = 0; i < 500; ++i)
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
-    world.m_server.take_state(all);
+    fixture.m_server.take_state(all);
     const std::uint64_t known = GENERATE(0, 10);
     if (known > 0)
-        merge_state(world.m_state, all);
-    world.m_links.on_hello([&] { return known; });
-    cluster_state news;
-    news.m_runners_since = 10;
-    news.m_runners_revision = 12;
-    news.m_runners = {{"r1", "new", 11}, {"r2", "", 12, true}};
-    world.m_server.take_state(news);
-    world.m_links.set_members(world.m_members);
-    REQUIRE(
-        world.wait_for([&] { return world.m_state.m_runners_revision == 12; }));
-    CHECK(count_runners(world.m_state) == 499);
-    CHECK(world.m_entries == (known == 0 ? 499U : 2U));
+        merge_state(fixture.m_state, all);
+    fixture.m_links.on_hello([&] { return known; });
+    cluster_state update;
+    update.m_runners_since = 10;
+    update.m_runners_revision = 12;
+    update.m_runners = {{"r1", "new", 11}, {"r2", "", 12, true}};
+    fixture.m_server.take_state(update);
+    fixture.m_links.set_members(fixture.m_members);
+    REQUIRE(fixture.wait_for(
+        [&] { return fixture.m_state.m_runners_revision == 12; }));
+    CHECK(count_runners(fixture.m_state) == 499);
+    CHECK(fixture.m_entries == (known == 0 ? 499U : 2U));
 }
 
-TEST_CASE("who looks for members is told no long list of runners",
+TEST_CASE("a VM that looks for members receives no long list of runners",
           "[member_links]")
 {
     const auto runners = GENERATE(800, 3200);
-    told_world world;
+    update_fixture fixture;
     cluster_state all;
     all.m_runners_revision = 10;
     for (int i = 0; i < runners; ++i)
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
-    all.m_views = {{.m_epoch = 3, .m_members = world.m_members}};
-    world.m_server.take_state(all);
-    world.m_links.connect_seeds({world.m_members.front().m_address});
-    REQUIRE(world.wait_for([&] { return !world.m_state.m_views.empty(); }));
-    CHECK(world.m_entries <= 1000);
-    // Its sources tell it all.
-    world.m_links.set_members(world.m_members);
-    CHECK(world.wait_for([&] {
-        return count_runners(world.m_state) ==
+    all.m_views = {{.m_epoch = 3, .m_members = fixture.m_members}};
+    fixture.m_server.take_state(all);
+    fixture.m_links.connect_seeds({fixture.m_members.front().m_address});
+    REQUIRE(fixture.wait_for([&] { return !fixture.m_state.m_views.empty(); }));
+    CHECK(fixture.m_entries <= 1000);
+    // Its update sources send the rest.
+    fixture.m_links.set_members(fixture.m_members);
+    CHECK(fixture.wait_for([&] {
+        return count_runners(fixture.m_state) ==
                static_cast<std::size_t>(runners);
     }));
-    CHECK(world.m_entries == static_cast<std::size_t>(runners));
+    CHECK(fixture.m_entries == static_cast<std::size_t>(runners));
 }
--- a/test/fleet/test_proxy.cpp
+++ b/test/fleet/test_proxy.cpp
@@ -7,17 +7,17 @@
 using namespace pepperturn::test;
 using after = runner_step::after;
 
-using world = isolated_edge;
+using fixture = isolated_edge;
 
 } // namespace
 
-TEST_CASE("an answer comes back unchanged, with what it came with", "[proxy]")
+TEST_CASE("a response is returned unchanged, with its headers", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{whole_answer(418, "body",
                                        "X-Own: kept\r\n"
                                        "Keep-Alive: timeout=9\r\n")}});
-    const auto got = edge.ask(world::get("/get/a?b=c"), "body");
+    const auto got = edge.ask(fixture::get("/get/a?b=c"), "body");
     CHECK(has(got, "HTTP/1.1 418 "));
     CHECK(has(got, "X-Own: kept"));
     CHECK(has(got, "Pepperturn-Signature: s"));
@@ -30,12 +30,12 @@
     CHECK(has(sent, "Pepperturn-Deadline-Ms: "));
 }
 
-TEST_CASE("bodies with a length and in chunks arrive whole", "[proxy]")
+TEST_CASE("bodies with a length and in chunks arrive complete", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{whole_answer(200, "done")}});
     const std::string body(20000, 'b');
-    CHECK(has(edge.ask(world::post("/once/", body), "done"), "200"));
+    CHECK(has(edge.ask(fixture::post("/once/", body), "done"), "200"));
     CHECK(edge.m_first.requests().back().ends_with(body));
     const auto chunked =
         edge.ask("POST /once/ HTTP/1.1\r\nHost: h\r\nPepperturn-Call: c1\r\n"
@@ -113,73 +113,75 @@
     for (const auto& each : samples)
     {
         INFO(each.m_name);
-        world edge;
+        fixture edge;
         edge.m_first.script({each.m_step});
         edge.m_second.script({{good}});
         const auto got =
-            edge.ask(each.m_path == "/get/" ? world::get("/get/")
-                                            : world::post("/once/", "x"),
+            edge.ask(each.m_path == "/get/" ? fixture::get("/get/")
+                                            : fixture::post("/once/", "x"),
                      "\r\n\r\n");
         CHECK(has(got, "HTTP/1.1 " + each.m_status + ' '));
         CHECK(edge.m_second.requests().size() == each.m_tries_elsewhere);
     }
 }
 
-TEST_CASE("refused by every runner: not run, and when to come back", "[proxy]")
+TEST_CASE("refused by every runner: not run, and when to retry", "[proxy]")
 {
-    world edge;
+    fixture edge;
     const runner_step full{
         whole_answer(503, "", "Pepperturn-Not-Run: 1\r\nRetry-After: 0.1\r\n")};
     edge.m_first.script({full});
     edge.m_second.script({full});
-    const auto got = edge.ask(world::post("/once/", "x"), "\r\n\r\n");
+    const auto got = edge.ask(fixture::post("/once/", "x"), "\r\n\r\n");
     CHECK(has(got, "HTTP/1.1 503 "));
     CHECK(has(got, "Retry-After: 0.100"));
 }
 
-TEST_CASE("errors from every runner: the runner's own is passed on", "[proxy]")
+TEST_CASE("errors from every runner: the runner's own is returned", "[proxy]")
 {
-    // It was replaced by a 502 when no further runner was left.
-    world edge;
+    // It must not be replaced by a 502 when no further runner is left.
+    fixture edge;
     const bool one_runner = GENERATE(false, true);
     edge.m_first.script({{whole_answer(500, "own error")}});
     edge.m_second.script({{whole_answer(500, "own error")}});
     if (one_runner)
         edge.m_proxy.set_runners(
             {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
-    const auto got = edge.ask(world::get("/get/"), "own error");
+    const auto got = edge.ask(fixture::get("/get/"), "own error");
     CHECK(has(got, "HTTP/1.1 500 "));
     CHECK(has(got, "Pepperturn-Signature: s"));
 }
 
-TEST_CASE("nobody listens there: not run", "[proxy]")
+TEST_CASE("connection refused: not run", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_proxy.set_runners({{"r1", "svc", "127.0.0.1:1", "z", 4, false}});
-    CHECK(
-        has(edge.ask(world::post("/once/", "x"), "\r\n\r\n"), "HTTP/1.1 503 "));
+    CHECK(has(edge.ask(fixture::post("/once/", "x"), "\r\n\r\n"),
+              "HTTP/1.1 503 "));
 }
 
-TEST_CASE("events pass as they come, and a cut one never looks whole",
-          "[proxy]")
+TEST_CASE(
+    "events are relayed at once, and an aborted stream never looks complete",
+    "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{event_answer({"a", "b"})}});
-    auto got = edge.ask(world::post("/stream/", "x"), "\r\n0\r\n\r\n");
+    auto got = edge.ask(fixture::post("/stream/", "x"), "\r\n0\r\n\r\n");
     CHECK(has(got, "data: a"));
     CHECK(has(got, "data: b"));
     edge.m_first.script({{event_answer({"a"}, false), true, after::close}});
-    got = edge.ask(world::post("/stream/", "x"), "never");
+    got = edge.ask(fixture::post("/stream/", "x"), "never");
     CHECK(has(got, "data: a"));
     CHECK_FALSE(has(got, "\r\n0\r\n\r\n"));
     CHECK(edge.m_ended);
     CHECK(edge.m_second.requests().empty());
 }
 
-TEST_CASE("a stream without a length that ends by a reset is cut", "[proxy]")
+TEST_CASE("a stream without a length that ends by a reset is aborted",
+          "[proxy]")
 {
     const auto how = GENERATE(after::close, after::reset);
-    world edge;
+    fixture edge;
     edge.m_first.script(
         {{"HTTP/1.1 200 OK\r\nPepperturn-Call: ID\r\nPepperturn-Signature: s"
           "\r\nConnection: close\r\n\r\ndata: a\n\n",
@@ -187,48 +189,49 @@
           how,
           {},
           milliseconds(20)}});
-    const auto got = edge.ask(world::post("/stream/", "x"), "\r\n0\r\n\r\n");
-    // A reset may also take the first bytes along.
+    const auto got = edge.ask(fixture::post("/stream/", "x"), "\r\n0\r\n\r\n");
+    // A reset may also discard the first bytes.
     CHECK(has(got, "\r\n0\r\n\r\n") == (how == after::close));
 }
 
-TEST_CASE("bytes after a whole answer belong to nobody", "[proxy]")
+TEST_CASE("bytes after a complete response are not sent to any caller",
+          "[proxy]")
 {
-    world edge;
+    fixture edge;
     const auto answer = whole_answer(200, "mine");
-    // At once behind the answer, or later on the idle connection.
+    // Directly after the response, or later on the idle connection.
     const bool at_once = GENERATE(true, false);
     runner_step step{at_once ? answer + answer : answer};
     if (!at_once)
         step.m_surplus = whole_answer(200, "surplus");
     edge.m_first.script({step, {answer}});
-    CHECK(has(edge.ask(world::get("/get/"), "mine"), "200"));
+    CHECK(has(edge.ask(fixture::get("/get/"), "mine"), "200"));
     const auto end = std::chrono::steady_clock::now() + milliseconds(60);
     edge.wait_for([&] { return std::chrono::steady_clock::now() >= end; });
-    CHECK_FALSE(has(edge.ask(world::get("/get/"), "mine"), "surplus"));
+    CHECK_FALSE(has(edge.ask(fixture::get("/get/"), "mine"), "surplus"));
     CHECK(edge.m_first.connections() == 2);
 }
 
-TEST_CASE("a good connection is used again", "[proxy]")
+TEST_CASE("a healthy connection is reused", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{whole_answer(200, "mine")}});
     for (int i = 0; i < 3; ++i)
-        CHECK(has(edge.ask(world::get("/get/"), "mine"), "200"));
+        CHECK(has(edge.ask(fixture::get("/get/"), "mine"), "200"));
     CHECK(edge.m_first.connections() == 1);
     edge.m_first.script({{whole_answer(200, "mine", "Connection: close\r\n")}});
     for (int i = 0; i < 2; ++i)
-        CHECK(has(edge.ask(world::get("/get/"), "mine"), "200"));
+        CHECK(has(edge.ask(fixture::get("/get/"), "mine"), "200"));
     CHECK(edge.m_first.connections() == 2);
 }
 
-TEST_CASE("engines are spread over, plain runners kept to", "[proxy]")
+TEST_CASE("calls are spread over engines, plain runners are reused", "[proxy]")
 {
-    // Conversations once gathered on the engines that were connected, until
-    // these ran out of memory.
-    world edge;
+    // If engines with open connections are preferred, conversations gather
+    // there until these engines run out of memory.
+    fixture edge;
     const bool engine = GENERATE(false, true);
-    auto config = world::config(2);
+    auto config = fixture::config(2);
     if (engine)
         config.m_services["svc"].m_engine = engine_profile{64, 100000, 1};
     REQUIRE(edge.m_proxy.apply_config(config));
@@ -240,7 +243,7 @@
     for (std::size_t i = 0; i < asked; ++i)
     {
         edge.m_time.stop_now();
-        CHECK(has(edge.ask(world::get("/get/"), "mine"), "200"));
+        CHECK(has(edge.ask(fixture::get("/get/"), "mine"), "200"));
     }
     const auto least = std::min(edge.m_first.requests().size(),
                                 edge.m_second.requests().size());
@@ -250,26 +253,29 @@
         CHECK(least == 0);
 }
 
-TEST_CASE("an answer before the body is in ends that connection", "[proxy]")
+TEST_CASE("a response before the complete body closes that connection",
+          "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{whole_answer(413, "early"), false}});
     const std::string large(90000, 'x');
-    CHECK(has(edge.ask(world::post("/once/", large), "early"), "413"));
+    CHECK(has(edge.ask(fixture::post("/once/", large), "early"), "413"));
     edge.m_first.script({{whole_answer(200, "next")}});
-    CHECK(has(edge.ask(world::post("/once/", "small"), "next"), "200"));
+    CHECK(has(edge.ask(fixture::post("/once/", "small"), "next"), "200"));
     CHECK(edge.m_first.requests().back().ends_with("\r\n\r\nsmall"));
 }
 
-TEST_CASE("a caller that leaves ends its run, unless it runs once", "[proxy]")
+TEST_CASE("a caller that disconnects ends its run, unless it is unrepeatable",
+          "[proxy]")
 {
     for (const std::string path : {"/get/", "/stream/", "/once/"})
     {
         INFO(path);
-        world edge;
+        fixture edge;
         edge.m_first.script({{"", true, after::keep}});
         edge.connect();
-        edge.send(path == "/get/" ? world::get(path) : world::post(path, "x"));
+        edge.send(path == "/get/" ? fixture::get(path)
+                                  : fixture::post(path, "x"));
         REQUIRE(
             edge.wait_for([&] { return edge.m_first.requests().size() == 1; }));
         error_code ec;
@@ -308,7 +314,7 @@
     for (const auto& each : samples)
     {
         INFO(each.m_bytes.substr(0, 80));
-        world edge;
+        fixture edge;
         edge.m_first.script({{whole_answer(200, "no")}});
         edge.connect();
         edge.send(each.m_bytes);
@@ -320,37 +326,39 @@
 
 TEST_CASE("no configuration, no route, an older configuration", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{whole_answer(200, "ok")}});
-    CHECK(has(edge.ask(world::get("/other/"), "\r\n\r\n"), "HTTP/1.1 404 "));
-    CHECK_FALSE(edge.m_proxy.apply_config(world::config(1)));
-    auto newer = world::config(3);
+    CHECK(has(edge.ask(fixture::get("/other/"), "\r\n\r\n"), "HTTP/1.1 404 "));
+    CHECK_FALSE(edge.m_proxy.apply_config(fixture::config(1)));
+    auto newer = fixture::config(3);
     newer.m_routes.clear();
     CHECK(edge.m_proxy.apply_config(newer));
-    CHECK_FALSE(edge.m_proxy.apply_config(world::config(2)));
-    CHECK(has(edge.ask(world::get("/get/"), "\r\n\r\n"), "HTTP/1.1 404 "));
+    CHECK_FALSE(edge.m_proxy.apply_config(fixture::config(2)));
+    CHECK(has(edge.ask(fixture::get("/get/"), "\r\n\r\n"), "HTTP/1.1 404 "));
 
     proxy bare(edge.m_io, edge.m_time, wire_names{}, "z", edge.m_turns);
     edge.m_port = free_port(edge.m_io);
     std::string reason;
     REQUIRE(bare.listen(edge.endpoint(), reason));
-    const auto got = edge.ask(world::get("/get/"), "\r\n\r\n");
+    const auto got = edge.ask(fixture::get("/get/"), "\r\n\r\n");
     CHECK(has(got, "HTTP/1.1 503 "));
     CHECK(has(got, "Retry-After: "));
 }
 
-TEST_CASE("a VM that hears no storage VM sends callers on, not too soon",
+TEST_CASE("a VM that reaches no storage VM refuses callers with a sufficient "
+          "retry delay",
           "[proxy]")
 {
-    // Told to come back in 60 ms, callers had used up their tries before the
-    // balancer left a zone's VMs out that were all cut off.
-    world edge;
+    // With a retry delay of 60 ms, callers use up their tries before the load
+    // balancer removes the VMs of a zone that is partitioned.
+    fixture edge;
     edge.m_first.script({{whole_answer(200, "ok")}});
-    const auto got = edge.ask(world::post("/stream/", "x",
-                                          "Pepperturn-Program: p\r\n"
-                                          "Pepperturn-Token-Budget: 60\r\n"
-                                          "Pepperturn-Token-Count: 100,24\r\n"),
-                              "\r\n\r\n");
+    const auto got =
+        edge.ask(fixture::post("/stream/", "x",
+                               "Pepperturn-Program: p\r\n"
+                               "Pepperturn-Token-Budget: 60\r\n"
+                               "Pepperturn-Token-Count: 100,24\r\n"),
+                 "\r\n\r\n");
     CHECK(has(got, "HTTP/1.1 503 "));
     CHECK(has(got, "Retry-After: 0.400"));
     CHECK(has(got, "Connection: close"));
@@ -359,13 +367,13 @@
 
 TEST_CASE("a draining edge answers, then closes", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_first.script({{whole_answer(200, "ok")}});
-    CHECK(has(edge.ask(world::get("/get/"), "ok"), "200"));
+    CHECK(has(edge.ask(fixture::get("/get/"), "ok"), "200"));
     CHECK_FALSE(edge.m_ended);
     edge.m_proxy.begin_drain();
     edge.m_received.clear();
-    edge.send(world::get("/get/"));
+    edge.send(fixture::get("/get/"));
     CHECK(edge.wait_for([&] { return edge.m_ended; }));
     CHECK(has(edge.m_received, "Connection: close"));
     CHECK(has(edge.m_received, "200"));
@@ -381,11 +389,11 @@
     CHECK(ec == asio::error::connection_refused);
 }
 
-TEST_CASE("what comes before the configuration is held and then served",
+TEST_CASE("requests before the configuration are buffered and then served",
           "[proxy]")
 {
-    // At a start of all VMs there is no other that would serve it sooner.
-    world edge;
+    // When all VMs start, no other VM would serve them sooner.
+    fixture edge;
     proxy starting(edge.m_io, edge.m_time, wire_names{}, "z", edge.m_turns);
     edge.m_port = free_port(edge.m_io);
     std::string reason;
@@ -393,33 +401,33 @@
     starting.set_runners({{"r1", "svc", edge.m_first.address(), "z", 4}});
     edge.m_first.script({{whole_answer(200, "fine")}});
     edge.connect();
-    edge.send(world::get("/get/a", "Pepperturn-Deadline-Ms: 1500\r\n"));
+    edge.send(fixture::get("/get/a", "Pepperturn-Deadline-Ms: 1500\r\n"));
     const auto asked = edge.m_time.now();
     const milliseconds start{700};
     CHECK_FALSE(edge.wait_for([&] { return !edge.m_received.empty(); }, start));
-    starting.apply_config(world::config(1));
+    starting.apply_config(fixture::config(1));
     CHECK(edge.wait_for([&] { return has(edge.m_received, "fine"); }));
     CHECK(elapsed(asked, edge.m_time.now()) < milliseconds(1500));
 }
 
-TEST_CASE("what is held in vain is refused while its caller has time left",
+TEST_CASE("buffered requests are refused while their callers have time left",
           "[proxy]")
 {
-    world edge;
+    fixture edge;
     proxy starting(edge.m_io, edge.m_time, wire_names{}, "z", edge.m_turns);
     edge.m_port = free_port(edge.m_io);
     std::string reason;
     REQUIRE(starting.listen(edge.endpoint(), reason));
     edge.connect();
-    edge.send(world::get("/get/a", "Pepperturn-Deadline-Ms: 400\r\n"));
+    edge.send(fixture::get("/get/a", "Pepperturn-Deadline-Ms: 400\r\n"));
     CHECK(edge.wait_for([&] { return has(edge.m_received, "503"); },
                         milliseconds(2000)));
     CHECK(has(edge.m_received, "Retry-After: "));
 }
 
-TEST_CASE("a cold runner that nobody counts gets nothing", "[proxy]")
+TEST_CASE("a cold runner without a reachable owner gets no calls", "[proxy]")
 {
-    world edge;
+    fixture edge;
     const bool other_is_cold = GENERATE(false, true);
     edge.limit_cold(20);
     edge.m_first.script({{whole_answer(200, "first")}});
@@ -429,26 +437,26 @@
     first.m_cold_remaining = milliseconds(60000);
     second.m_cold_remaining = milliseconds(other_is_cold ? 60000 : 0);
     edge.m_proxy.set_runners({first, second});
-    const auto got = edge.ask(world::post("/once/", "x"), "\r\n\r\n");
+    const auto got = edge.ask(fixture::post("/once/", "x"), "\r\n\r\n");
     CHECK(has(got, other_is_cold ? "HTTP/1.1 503 " : "HTTP/1.1 200 "));
     CHECK(edge.m_first.requests().empty());
     CHECK(edge.m_second.requests().empty() == other_is_cold);
-    // Whoever was refused may come back soon, and its runners are warm.
+    // Refused callers may retry soon, and the runners are warm then.
     first.m_cold_remaining = milliseconds(0);
     edge.m_proxy.set_runners({first, second});
-    CHECK(
-        has(edge.ask(world::post("/once/", "x"), "\r\n\r\n"), "HTTP/1.1 200 "));
+    CHECK(has(edge.ask(fixture::post("/once/", "x"), "\r\n\r\n"),
+              "HTTP/1.1 200 "));
     CHECK(edge.m_first.requests().size() == 1);
 }
 
 TEST_CASE("an evacuated zone is refused at once if no other serves", "[proxy]")
 {
-    world edge;
+    fixture edge;
     edge.m_second.script({{whole_answer(200, "second")}});
     edge.m_proxy.evacuate({"z"});
-    CHECK(has(edge.ask(world::post("/once/", "x"), "second"), "200"));
+    CHECK(has(edge.ask(fixture::post("/once/", "x"), "second"), "200"));
     CHECK(edge.m_first.requests().empty());
     edge.m_proxy.evacuate({"y", "z"});
-    CHECK(
-        has(edge.ask(world::post("/once/", "x"), "\r\n\r\n"), "HTTP/1.1 503 "));
+    CHECK(has(edge.ask(fixture::post("/once/", "x"), "\r\n\r\n"),
+              "HTTP/1.1 503 "));
 }
--- a/test/fleet/test_proxy_workspaces.cpp
+++ b/test/fleet/test_proxy_workspaces.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Callers with keys, as a runner and they themselves see it.
+// Callers with keys: what runners receive, and what callers get back.
 #include "support/fleet/isolated_edge.hpp"
 
 namespace {
@@ -7,7 +7,7 @@
 using namespace pepperturn;
 using namespace pepperturn::test;
 
-/// An edge VM whose callers have keys, and whose configuration has an age.
+/// An edge VM whose callers have keys, with a configuration of a set age.
 class keyed_edge : public isolated_edge
 {
 public:
@@ -77,7 +77,7 @@
     CHECK_FALSE(has(sent, "Authorization"));
 }
 
-TEST_CASE("callers that are turned away at the door", "[proxy][tenancy]")
+TEST_CASE("callers that are refused at admission", "[proxy][tenancy]")
 {
     struct sample
     {
@@ -92,7 +92,7 @@
         {"Authorization: bearer key-1\r\nAuthorization: bearer key-1\r\n", 0,
          "401"},
         {"Authorization: bearer key-1\r\n", 4600, "503"},
-        // A newer configuration may have it.
+        // A newer configuration may contain the key.
         {"Authorization: bearer key-2\r\n", 2500, "503"},
     }));
     INFO(each.m_headers << each.m_word_age_ms);
@@ -106,12 +106,11 @@
     CHECK(edge.runs() == 0);
 }
 
-TEST_CASE(
-    "a configuration that grows old while a request waits: it is not sent",
-    "[proxy][tenancy]")
+TEST_CASE("a request whose configuration expires while it waits is not sent",
+          "[proxy][tenancy]")
 {
     keyed_edge edge;
-    // At the door, before a runner is chosen; not just before it is sent.
+    // Fresh at admission only, or also when a runner is chosen; not when sent.
     const auto fresh = GENERATE(1, 2);
     edge.m_fresh_answers = fresh;
     const auto got = edge.ask_with("/once/", "Authorization: bearer key-1\r\n");
@@ -119,7 +118,7 @@
     CHECK(edge.runs() == 0);
 }
 
-TEST_CASE("where callers have no keys, what they send goes on",
+TEST_CASE("without keys, the callers' authorization is forwarded",
           "[proxy][tenancy]")
 {
     isolated_edge edge;
--- a/test/fleet/test_reach.cpp
+++ b/test/fleet/test_reach.cpp
@@ -15,17 +15,17 @@
 
 constexpr std::size_t length_bytes = 4;
 
-void await_neighbours(connectivity_fixture& fleet,
-                      const partitionable_edge& edge, std::uint64_t count)
+void await_relay_peers(connectivity_fixture& fleet,
+                       const partitionable_edge& edge, std::uint64_t count)
 {
     REQUIRE(
         fleet.wait([&] { return edge.metric("neighbours_known") == count; }));
 }
 
-/// Makes storage VMs name \p who as a neighbour.
-struct announced
+/// Makes storage VMs list \p who as a relay peer.
+struct announced_peer
 {
-    announced(connectivity_fixture& fleet, const neighbour& who)
+    announced_peer(connectivity_fixture& fleet, const neighbour& who)
         : m_links(fleet.m_io, fleet.m_time, who.m_name)
     {
         m_links.advertise_relay(who.m_address, who.m_availability_zone);
@@ -35,17 +35,17 @@
                    m_links.connected("vm-2");
         }));
     }
-    ~announced()
+    ~announced_peer()
     {
         m_links.stop();
     }
-    announced(const announced&) = delete;
-    announced& operator=(const announced&) = delete;
+    announced_peer(const announced_peer&) = delete;
+    announced_peer& operator=(const announced_peer&) = delete;
 
     member_links m_links;
 };
 
-/// Two turns are kept, and a third goes on from both.
+/// Stores two turns, and begins a third that continues both.
 void check_turns(partitionable_edge& edge)
 {
     REQUIRE(edge.keep("a", ""));
@@ -53,27 +53,27 @@
     const auto result = edge.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
     CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
-    // Each of them counts once, however often it was sent.
+    // Each turn is counted once, however often it was sent.
     CHECK(result.m_reason == "committed=60 budget=1000");
 }
 
 } // namespace
 
-TEST_CASE("an edge VM that hears no storage VM serves turns through another",
+TEST_CASE("an edge VM that reaches no storage VM serves turns through a peer",
           "[reach]")
 {
     struct row
     {
         const char* m_what;
-        std::function<void(partitionable_edge&)> m_cut;
+        std::function<void(partitionable_edge&)> m_partition;
     };
     const auto each = GENERATE(values<row>({
         {"nothing passes", [](partitionable_edge& edge) { edge.partition(); }},
-        {"questions are lost, beats come",
+        {"requests are lost, heartbeats arrive",
          [](partitionable_edge& edge) { edge.partition(true, false); }},
-        {"questions arrive, answers are lost",
+        {"requests arrive, replies are lost",
          [](partitionable_edge& edge) { edge.partition(false, true); }},
-        {"connections break and none is made",
+        {"connections break and none can be made",
          [](partitionable_edge& edge) {
              for (const auto& [name, wire] : edge.m_wires)
                  wire->close();
@@ -83,8 +83,8 @@
     connectivity_fixture fleet;
     partitionable_edge helper(fleet, "edge-1", "y");
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 1);
-    each.m_cut(edge);
+    await_relay_peers(fleet, edge, 1);
+    each.m_partition(edge);
     check_turns(edge);
     CHECK(edge.metric("asks_relayed") > 0);
     CHECK(helper.metric("relayed_asks") > 0);
@@ -92,48 +92,48 @@
     CHECK(edge.m_client.connected());
 }
 
-TEST_CASE("a VM that hears no storage VM hears of the world from a neighbour",
+TEST_CASE("a VM that reaches no storage VM receives state from a relay peer",
           "[reach]")
 {
-    // With the views of before it would be refused as stale until it is heard
-    // again.
+    // With its old views, the VM would be refused as stale until it is
+    // connected again.
     connectivity_fixture fleet;
     partitionable_edge helper(fleet, "edge-1", "y");
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 1);
+    await_relay_peers(fleet, edge, 1);
     CHECK(edge.m_received_state.m_views.empty());
     edge.partition();
     check_turns(edge);
     REQUIRE(fleet.wait([&] {
         return edge.m_received_state.m_views == fleet.m_state.m_views;
     }));
-    cluster_state news;
-    news.m_config_revision = 77;
-    news.m_config = "{}";
-    helper.m_connectivity.send_updates(news);
+    cluster_state update;
+    update.m_config_revision = 77;
+    update.m_config = "{}";
+    helper.m_connectivity.send_updates(update);
     CHECK(fleet.wait(
         [&] { return edge.m_received_state.m_config_revision == 77; }));
-    // Heard again, it is told by storage VMs alone.
+    // Once reconnected, it receives updates from storage VMs only.
     edge.heal();
     REQUIRE(fleet.wait([&] { return edge.all_direct(); }));
     const auto settled = fleet.m_time.now() + milliseconds(300);
     fleet.wait([&] { return fleet.m_time.now() >= settled; });
-    news.m_config_revision = 78;
-    helper.m_connectivity.send_updates(news);
+    update.m_config_revision = 78;
+    helper.m_connectivity.send_updates(update);
     const auto later = fleet.m_time.now() + milliseconds(200);
     fleet.wait([&] { return fleet.m_time.now() >= later; });
     CHECK(edge.m_received_state.m_config_revision == 77);
 }
 
-TEST_CASE("a VM that serves through a neighbour stays ready without callers",
+TEST_CASE("a VM that serves through a relay peer stays ready without callers",
           "[reach]")
 {
     connectivity_fixture fleet;
     partitionable_edge helper(fleet, "edge-1", "y");
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 1);
+    await_relay_peers(fleet, edge, 1);
     edge.partition();
-    // Longer than a silent member counts as heard.
+    // Longer than an unresponsive member is treated as connected.
     const auto end = fleet.m_time.now() + 2 * liveness_timeout;
     while (fleet.m_time.now() < end)
     {
@@ -145,7 +145,7 @@
     CHECK(edge.metric("asks_relayed") > 0);
 }
 
-TEST_CASE("without a relay address no neighbour is asked", "[reach]")
+TEST_CASE("without a relay address no relay peer is used", "[reach]")
 {
     connectivity_fixture fleet;
     partitionable_edge helper(fleet, "edge-1", "y");
@@ -157,12 +157,13 @@
     CHECK(helper.metric("relayed_asks") == 0);
 }
 
-TEST_CASE("a cut that heals: members are asked directly again", "[reach]")
+TEST_CASE("after a partition heals, requests go to members directly again",
+          "[reach]")
 {
     connectivity_fixture fleet;
     partitionable_edge helper(fleet, "edge-1", "y");
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 1);
+    await_relay_peers(fleet, edge, 1);
     edge.partition();
     REQUIRE(edge.keep("a", ""));
     edge.heal();
@@ -175,7 +176,7 @@
     CHECK(edge.metric("asks_relayed") == relayed);
 }
 
-TEST_CASE("a neighbour that fails between question and answer", "[reach]")
+TEST_CASE("a relay peer that fails between request and reply", "[reach]")
 {
     using handler = fake_relay_peer::handler;
     struct row
@@ -185,24 +186,24 @@
     };
     const auto pass_on = [](connectivity_fixture& fleet, const frame& value,
                             reply_handler done) {
-        const auto& asked = std::get<relayed_message>(value.m_body);
+        const auto& relayed = std::get<relayed_message>(value.m_body);
         std::string reason;
-        auto question = decode_frame(asked.m_frame, reason);
-        REQUIRE(question.has_value());
-        fleet.m_links.call(asked.m_member, question->m_epoch, question->m_body,
+        auto request = decode_frame(relayed.m_frame, reason);
+        REQUIRE(request.has_value());
+        fleet.m_links.call(relayed.m_member, request->m_epoch, request->m_body,
                            std::move(done));
     };
     const auto each = GENERATE_COPY(values<row>({
-        {"it is silent",
+        {"it does not reply",
          [](connectivity_fixture&) -> handler {
              return [](const auto&, const frame&) {};
          }},
-        {"it breaks off before it asks",
+        {"it disconnects before it relays",
          [](connectivity_fixture&) -> handler {
              return
                  [](const auto& link, const frame&) { link->close("killed"); };
          }},
-        {"it breaks off once the member has done it",
+        {"it disconnects once the member has replied",
          [pass_on](connectivity_fixture& fleet) -> handler {
              return [pass_on, &fleet](const auto& link, const frame& value) {
                  pass_on(fleet, value, [link](const std::optional<frame>&) {
@@ -210,93 +211,93 @@
                  });
              };
          }},
-        {"it passes questions on and answers nothing",
+        {"it relays requests and never replies",
          [pass_on](connectivity_fixture& fleet) -> handler {
              return [pass_on, &fleet](const auto&, const frame& value) {
                  pass_on(fleet, value, [](const std::optional<frame>&) {});
              };
          }},
-        {"it refuses some and says nothing to others",
+        {"it rejects some requests and ignores others",
          [](connectivity_fixture&) -> handler {
              return [](const auto& link, const frame& value) {
-                 const auto& asked = std::get<relayed_message>(value.m_body);
-                 if (asked.m_member == "vm-1")
+                 const auto& relayed = std::get<relayed_message>(value.m_body);
+                 if (relayed.m_member == "vm-1")
                      link->send({value.m_call, 0, frame_status::failed,
-                                 relayed_message{asked.m_member, ""}});
+                                 relayed_message{relayed.m_member, ""}});
              };
          }},
-        {"it answers with what is no frame",
+        {"it replies with a malformed frame",
          [](connectivity_fixture&) -> handler {
              return [](const auto& link, const frame& value) {
-                 const auto& asked = std::get<relayed_message>(value.m_body);
+                 const auto& relayed = std::get<relayed_message>(value.m_body);
                  link->send({value.m_call, 0, frame_status::ok,
-                             relayed_message{asked.m_member, "nonsense"}});
+                             relayed_message{relayed.m_member, "nonsense"}});
              };
          }},
     }));
     INFO(each.m_what);
     connectivity_fixture fleet;
     fake_relay_peer fake(fleet.m_io, each.m_make(fleet));
-    // In the asker's zone, so that it is asked first.
-    const announced presence(fleet, fake.who("edge-2", "z"));
+    // In the requester's zone, so that it is tried first.
+    const announced_peer presence(fleet, fake.who("edge-2", "z"));
     partitionable_edge helper(fleet, "edge-1", "y");
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 2);
+    await_relay_peers(fleet, edge, 2);
     edge.partition();
     check_turns(edge);
     CHECK(fake.m_request_count > 0);
     CHECK(helper.metric("relayed_asks") > 0);
 }
 
-TEST_CASE("two VMs that are both cut refuse at once and ask nobody in circles",
+TEST_CASE("two partitioned VMs refuse at once and do not relay in circles",
           "[reach]")
 {
     connectivity_fixture fleet;
     partitionable_edge first(fleet, "edge-0", "z");
     partitionable_edge second(fleet, "edge-1", "z");
-    await_neighbours(fleet, first, 1);
-    await_neighbours(fleet, second, 1);
+    await_relay_peers(fleet, first, 1);
+    await_relay_peers(fleet, second, 1);
     first.partition();
     second.partition();
-    // Until each knows that it hears no member itself.
+    // Until each has found that no member is reachable.
     REQUIRE(fleet.wait([&] {
         return !first.m_links.reachable_directly("vm-0") &&
                !second.m_links.reachable_directly("vm-0");
     }));
     const auto relayed =
         first.metric("relayed_asks") + second.metric("relayed_asks");
-    const auto asked = fleet.m_time.now();
+    const auto begun = fleet.m_time.now();
     const auto result = first.begin(storage_fixture::request("a", ""));
     CHECK(result.m_outcome == begin_outcome::unavailable);
-    // Far below the patience of a caller.
-    CHECK(fleet.m_time.now() - asked < default_timeout / 4);
+    // Far below a caller's timeout.
+    CHECK(fleet.m_time.now() - begun < default_timeout / 4);
     CHECK(first.metric("relayed_asks") + second.metric("relayed_asks") ==
           relayed);
-    // An owner that nobody reaches grants nothing.
+    // An unreachable owner grants nothing.
     quota_client quota(fleet.m_io, fleet.m_time, first.m_links);
     quota.set_members(members_of(fleet.m_state.m_views));
-    quota_request question;
-    question.m_workspace = 7;
-    question.m_limit = {1000, 1000};
-    const auto grant = run_task(fleet.m_io, quota.acquire(question));
+    quota_request request;
+    request.m_workspace = 7;
+    request.m_limit = {1000, 1000};
+    const auto grant = run_task(fleet.m_io, quota.acquire(request));
     REQUIRE(grant.has_value());
     CHECK(grant->m_outcome != quota_outcome::granted);
 }
 
-TEST_CASE("a zone that is cut as a whole goes through another", "[reach]")
+TEST_CASE("a completely partitioned zone is served through another", "[reach]")
 {
     connectivity_fixture fleet;
     partitionable_edge near(fleet, "edge-1", "z");
     partitionable_edge far(fleet, "edge-2", "y");
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 2);
+    await_relay_peers(fleet, edge, 2);
     near.partition();
     edge.partition();
     check_turns(edge);
     CHECK(far.metric("relayed_asks") > 0);
 }
 
-TEST_CASE("a neighbour ends the connection of who asks what it may not",
+TEST_CASE("a relay peer closes the connection of a forbidden request",
           "[reach]")
 {
     struct row
@@ -318,12 +319,12 @@
              "a", "", std::string(2U << 20U, 'x'), "", "run", {}, {}, 1}}});
     const auto each = GENERATE_COPY(values<row>({
         {"a listing", passed(list_message{}), 1},
-        {"news", passed(cluster_state{}), 1},
-        {"a question to be relayed again", passed(relayed_message{"vm-1", ""}),
+        {"a state update", passed(cluster_state{}), 1},
+        {"a request to be relayed again", passed(relayed_message{"vm-1", ""}),
          1},
-        {"a question for itself",
+        {"a request for the relay itself",
          encode_frame({5, 0, frame_status::ok, begin_message{}}), 1},
-        {"what is no frame",
+        {"a malformed frame",
          encode_frame(
              {5, 0, frame_status::ok, relayed_message{"vm-0", "nonsense"}}),
          1},
@@ -333,12 +334,12 @@
     INFO(each.m_what);
     asio::io_context io(1);
     const system_clock time;
-    int asked = 0;
+    int request_count = 0;
     relay_server server(io, time,
                         {[](const std::string&) { return true; },
                          [&](std::string, std::uint64_t, frame_body,
                              instant) -> task<std::optional<frame>> {
-                             ++asked;
+                             ++request_count;
                              co_return std::nullopt;
                          },
                          {}});
@@ -366,38 +367,38 @@
         asio::buffer(chunk),
         [&](const error_code& ec, std::size_t) { ended = ec.failed(); });
     REQUIRE(run_until(io, [&] { return ended; }));
-    CHECK(asked == 0);
+    CHECK(request_count == 0);
     CHECK(server.counts().m_violations == each.m_violations);
     server.stop();
     io.restart();
     io.poll();
 }
 
-TEST_CASE("a neighbour without room says so at once", "[reach]")
+TEST_CASE("a relay peer without capacity rejects at once", "[reach]")
 {
     struct row
     {
         const char* m_what;
         relay_limits m_limits;
-        bool m_reaches;
-        int m_asked;
+        bool m_reachable;
+        int m_request_count;
     };
     const auto each = GENERATE(values<row>({
-        {"it does not hear the member", {}, false, 0},
-        {"as many as may be are under way", {500, 250, 1e6, 1e6, 2}, true, 2},
+        {"the member is unreachable", {}, false, 0},
+        {"the maximum is in flight", {500, 250, 1e6, 1e6, 2}, true, 2},
         {"its budget is spent", {0.001, 3, 1e6, 1e6, 256}, true, 3},
     }));
     INFO(each.m_what);
     asio::io_context io(1);
     const system_clock time;
-    int asked = 0;
+    int request_count = 0;
     relay_server server(io, time,
-                        {[&](const std::string&) { return each.m_reaches; },
+                        {[&](const std::string&) { return each.m_reachable; },
                          [&](std::string, std::uint64_t, frame_body,
-                             instant until) -> task<std::optional<frame>> {
-                             ++asked;
+                             instant deadline) -> task<std::optional<frame>> {
+                             ++request_count;
                              async_event never(io);
-                             co_await never.wait_until(until);
+                             co_await never.wait_until(deadline);
                              co_return std::nullopt;
                          },
                          {}},
@@ -415,65 +416,66 @@
             refused += value.m_status == frame_status::failed ? 1 : 0;
         },
         [](const std::string&) {});
-    const auto question =
+    const auto request =
         encode_frame({0, 0, frame_status::ok, want_freshness_message{}});
     constexpr int sent = 5;
     for (std::uint64_t call = 1; call <= sent; ++call)
         (*link)->send({call, 0, frame_status::ok,
-                       relayed_message{"vm-0", question.substr(length_bytes)}});
-    REQUIRE(run_until(io, [&] { return refused == sent - each.m_asked; }));
-    CHECK(asked == each.m_asked);
+                       relayed_message{"vm-0", request.substr(length_bytes)}});
+    REQUIRE(
+        run_until(io, [&] { return refused == sent - each.m_request_count; }));
+    CHECK(request_count == each.m_request_count);
     CHECK(server.counts().m_refused ==
-          static_cast<std::uint64_t>(sent - each.m_asked));
+          static_cast<std::uint64_t>(sent - each.m_request_count));
     server.stop();
     io.restart();
     io.poll();
 }
 
-TEST_CASE("what a neighbour tells is as old as its question", "[reach]")
+TEST_CASE("relayed freshness ages from the time of the request", "[reach]")
 {
-    // The neighbour holds the answer back; the age counts from when the first
-    // asker asked.
-    static constexpr milliseconds held{60};
+    // The relay peer delays its reply; the age counts from the time of the
+    // original request.
+    static constexpr milliseconds reply_delay{60};
     connectivity_fixture fleet;
     fleet.m_store.put("op/config", R"({"version":4})");
     fake_relay_peer fake(fleet.m_io, [&](const auto& link, const frame& value) {
-        const auto& asked = std::get<relayed_message>(value.m_body);
-        freshness_message told;
-        told.m_config_revision = 4;
-        told.m_config_age_ms = 10;
-        const auto inner = encode_frame({0, 0, frame_status::ok, told});
+        const auto& relayed = std::get<relayed_message>(value.m_body);
+        freshness_message message;
+        message.m_config_revision = 4;
+        message.m_config_age_ms = 10;
+        const auto inner = encode_frame({0, 0, frame_status::ok, message});
         spawn(fleet.m_io, "test.answer",
-              [](auto& io, auto to, frame answer)
+              [](auto& io, auto to, frame reply)
                   -> task<> {
-                  co_await sleep_for(io, held);
-                  to->send(answer);
+                  co_await sleep_for(io, reply_delay);
+                  to->send(reply);
               }(fleet.m_io, link,
                   frame{value.m_call, 0, frame_status::ok,
-                        relayed_message{asked.m_member,
+                        relayed_message{relayed.m_member,
                                         inner.substr(length_bytes)}}));
     });
-    const announced presence(fleet, fake.who("edge-2", "z"));
+    const announced_peer presence(fleet, fake.who("edge-2", "z"));
     partitionable_edge edge(fleet, "edge-0", "z");
-    await_neighbours(fleet, edge, 1);
+    await_relay_peers(fleet, edge, 1);
     edge.partition();
-    freshness_poller keeper(fleet.m_io, fleet.m_time, edge.m_links,
+    freshness_poller poller(fleet.m_io, fleet.m_time, edge.m_links,
                             {[] { return std::vector<std::string>{"vm-0"}; },
                              [] { return std::uint64_t{4}; },
                              [](const std::string&, std::uint64_t) {}});
     const auto begun = fleet.m_time.now();
-    keeper.set_enabled(true);
+    poller.set_enabled(true);
     instant earliest{};
     REQUIRE(fleet.wait([&] {
-        earliest = keeper.freshness().m_config_confirmed_at;
+        earliest = poller.freshness().m_config_confirmed_at;
         return earliest > begun;
     }));
     const auto age = age_of(earliest, fleet.m_time.now());
-    CHECK(age >= held + milliseconds(10));
-    keeper.set_enabled(false);
+    CHECK(age >= reply_delay + milliseconds(10));
+    poller.set_enabled(false);
 }
 
-TEST_CASE("a relay address that is none is refused at the start", "[reach]")
+TEST_CASE("an invalid relay address is rejected at the start", "[reach]")
 {
     asio::io_context io(1);
     const system_clock time;
@@ -481,9 +483,9 @@
     fleet_settings settings;
     settings.m_name = "edge";
     settings.m_relay_address = "here";
-    edge_connectivity reach(io, time, settings, links,
-                            [] { return cluster_state{}; });
+    edge_connectivity connectivity(io, time, settings, links,
+                                   [] { return cluster_state{}; });
     std::string reason;
-    CHECK_FALSE(reach.start(reason));
+    CHECK_FALSE(connectivity.start(reason));
     CHECK(reason.find("[listen] relay: ") == 0);
 }
--- a/test/fleet/test_readers.cpp
+++ b/test/fleet/test_readers.cpp
@@ -16,19 +16,19 @@
 constexpr std::uint64_t kilobyte = 1U << 10U;
 constexpr std::uint64_t megabyte = 1U << 20U;
 
-/// An edge VM with callers that read at will.
-class readers_world : public isolated_edge
+/// An edge VM with callers that read at a set rate.
+class readers_fixture : public isolated_edge
 {
 public:
-    /// \param memory_mb 0: not told
-    explicit readers_world(std::uint32_t memory_mb = 0,
-                           milliseconds timeout = milliseconds(20000))
+    /// \param memory_mb memory limit in MB; 0: none given
+    explicit readers_fixture(std::uint32_t memory_mb = 0,
+                             milliseconds timeout = milliseconds(20000))
     {
         auto next = config(2);
         for (auto& row : next.m_routes)
         {
             row.m_timeout = timeout;
-            // Runners are not judged by how long their answers take here.
+            // Response times must not affect the choice of runners here.
             row.m_target_latency = timeout;
         }
         next.m_limits.m_max_body_bytes = 8 * megabyte;
@@ -43,7 +43,7 @@
         m_callers.push_back(out);
         return out;
     }
-    [[nodiscard]] std::uint64_t held() const
+    [[nodiscard]] std::uint64_t buffered_bytes() const
     {
         return m_proxy.buffered().total();
     }
@@ -68,7 +68,7 @@
     return out;
 }
 
-/// What the caller got of a chunked answer, without the frame of its chunks.
+/// Body that the caller received of a chunked response, without the framing.
 std::string unchunked(const std::string& answer)
 {
     std::string out;
@@ -83,7 +83,7 @@
     return out;
 }
 
-/// Up to a line's end, without it; empty at the end of the input.
+/// Reads one line, without its end; empty at the end of the input.
 std::string read_line(int from)
 {
     std::string out;
@@ -104,12 +104,12 @@
     return out;
 }
 
-/// A proxy of 88 MB between callers and runners of another process: takes the
-/// runners' addresses, tells its port, and in the end what it needed.
+/// A proxy with 88 MB for callers and runners of another process: reads the
+/// runners' addresses, writes its port, and at the end its memory and metrics.
 void run_proxy_alone(int from, int to)
 {
-    readers_world edge(88);
-    auto config = readers_world::config(3);
+    readers_fixture edge(88);
+    auto config = readers_fixture::config(3);
     config.m_routes[0].m_services = {{"plain", 1.0}};
     config.m_routes[2].m_services = {{"streams", 1.0}};
     for (auto& row : config.m_routes)
@@ -131,47 +131,49 @@
 
 } // namespace
 
-TEST_CASE("a stream waits for its caller and goes on whole", "[readers]")
+TEST_CASE("a stream waits for its caller and continues without loss",
+          "[readers]")
 {
-    readers_world edge;
+    readers_fixture edge;
     const auto events = long_events(300, 4000);
     const auto answer = event_answer(events);
     edge.m_first.script({{answer}});
-    const auto caller = edge.begin(readers_world::get("/stream/"));
+    const auto caller = edge.begin(readers_fixture::get("/stream/"));
     edge.run_for(milliseconds(1200));
-    // A piece and what the kernel has; the rest is still the runner's.
-    CHECK(edge.held() > 0);
-    CHECK(edge.held() < 64 * kilobyte);
+    // One piece and the kernel's buffers; the rest is still at the runner.
+    CHECK(edge.buffered_bytes() > 0);
+    CHECK(edge.buffered_bytes() < 64 * kilobyte);
     CHECK(edge.m_proxy.active_requests() == 1);
     caller->read(8192, milliseconds(0));
     CHECK(
         edge.run_to([&] { return caller->received().ends_with("0\r\n\r\n"); }));
     CHECK(unchunked(caller->received()) == unchunked(answer));
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
     CHECK(edge.m_proxy.buffered().disconnected_readers() == 0);
 }
 
-TEST_CASE("a plain answer is delivered while its caller takes it", "[readers]")
+TEST_CASE("a plain response is delivered while its caller reads it",
+          "[readers]")
 {
-    readers_world edge;
+    readers_fixture edge;
     const std::string body(1 * megabyte, 'b');
     edge.m_first.script({{whole_answer(200, body)}});
-    const auto caller = edge.begin(readers_world::get("/get/"));
+    const auto caller = edge.begin(readers_fixture::get("/get/"));
     edge.run_for(milliseconds(2500));
-    CHECK(edge.held() >= body.size());
+    CHECK(edge.buffered_bytes() >= body.size());
     caller->read(8192, milliseconds(0));
     CHECK(edge.run_to([&] { return caller->received().ends_with(body); }));
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
     CHECK(edge.m_proxy.buffered().slow_readers() == 1);
     CHECK(edge.m_proxy.buffered().disconnected_readers() == 0);
 }
 
-// A VM that holds more than its bound is killed with all its calls.
+// A VM that buffers more than its bound is killed with all its calls.
 TEST_CASE("a crowd that does not read leaves the others alone", "[readers]")
 {
     // 12 MB for callers and runners.
     constexpr std::uint32_t memory_mb = 56;
-    readers_world edge(memory_mb);
+    readers_fixture edge(memory_mb);
     const auto bound = edge.m_proxy.buffered().bound();
     const std::string large(64 * kilobyte, 'l');
     const std::string usual(3000, 'u');
@@ -179,7 +181,7 @@
     edge.m_second.script({{whole_answer(200, large)}});
     for (int i = 0; i < 200; ++i)
     {
-        const auto caller = edge.begin(readers_world::get("/get/"));
+        const auto caller = edge.begin(readers_fixture::get("/get/"));
         if (i % 2 == 0)
             caller->read(1, milliseconds(1000));
     }
@@ -189,7 +191,7 @@
     std::size_t served = 0;
     for (int i = 0; i < 30; ++i)
     {
-        const auto caller = edge.begin(readers_world::get("/get/"));
+        const auto caller = edge.begin(readers_fixture::get("/get/"));
         caller->read(4096, milliseconds(0));
         CHECK(edge.run_to([&] {
             return caller->received().ends_with(usual) || caller->ended();
@@ -204,13 +206,13 @@
     CHECK(edge.m_proxy.buffered().disconnected_readers() < 200);
     for (const auto& caller : edge.m_callers)
         caller->close();
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
     CHECK(has(edge.m_proxy.metrics_text(), "held_bytes_most"));
 }
 
 namespace {
 
-/// Who adds bytes while the VM already holds what it may.
+/// Adds bytes while the VM already buffers its maximum.
 struct late_comers
 {
     const char* m_what;
@@ -222,38 +224,38 @@
 
 } // namespace
 
-TEST_CASE("held bytes stay within the bound, whoever adds the last",
+TEST_CASE("buffered bytes stay within the bound, whichever side adds the last",
           "[readers]")
 {
     const auto row = GENERATE(values<late_comers>({
         {"long answers that wait", 40, 0, 100000, false},
         {"usual answers", 200, 0, 3000, true},
-        {"usual answers that nobody reads", 200, 0, 40000, false},
+        {"normal responses that are not read", 200, 0, 40000, false},
         {"small bodies", 100, 30000, 100, true},
     }));
     INFO(row.m_what);
     // 4 MB for callers and runners.
-    readers_world edge(1);
+    readers_fixture edge(1);
     const auto bound = edge.m_proxy.buffered().bound();
     const auto fill = [&](const std::string& answer) {
         edge.m_first.script({{answer}});
         edge.m_second.script({{answer}});
     };
-    // One that nobody reads holds most of it, the next one asks for more than
-    // is left.
+    // An unread response takes most of it; the next one needs more than is
+    // left.
     fill(whole_answer(200, std::string(3 * megabyte, 'a')));
-    edge.begin(readers_world::get("/get/"));
-    CHECK(edge.run_to([&] { return edge.held() > 3 * megabyte; }));
+    edge.begin(readers_fixture::get("/get/"));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() > 3 * megabyte; }));
     fill(whole_answer(200, std::string(2 * megabyte, 'b')));
-    edge.begin(readers_world::get("/get/"));
-    CHECK(edge.run_to([&] { return edge.held() > 4 * bound / 5; },
+    edge.begin(readers_fixture::get("/get/"));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() > 4 * bound / 5; },
                       milliseconds(1000)));
     fill(whole_answer(200, std::string(row.m_answer_bytes, 'c')));
     for (std::size_t i = 0; i < row.m_count; ++i)
     {
         const std::string body(row.m_request_bytes, 'r');
         const auto caller =
-            edge.begin(body.empty() ? readers_world::get("/get/")
+            edge.begin(body.empty() ? readers_fixture::get("/get/")
                                     : edge.post("/once/", body));
         if (row.m_reads)
             caller->read(4096, milliseconds(0));
@@ -262,13 +264,14 @@
     CHECK(edge.m_proxy.buffered().peak() <= bound);
     for (const auto& caller : edge.m_callers)
         caller->close();
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
 }
 
-TEST_CASE("under pressure the slowest reader is cut, no usual one", "[readers]")
+TEST_CASE("under pressure the slowest reader is disconnected, no normal one",
+          "[readers]")
 {
-    // 4 MB for callers and runners; the three answers are more.
-    readers_world edge(1);
+    // 4 MB for callers and runners; the three responses need more.
+    readers_fixture edge(1);
     edge.m_proxy.set_runners(
         {{"r1", "svc", edge.m_first.address(), "z", 4, false}});
     const std::vector<std::string> bodies{std::string(2000000, 'a'),
@@ -279,12 +282,12 @@
     for (const auto& body : bodies)
         steps.push_back({whole_answer(200, body)});
     edge.m_first.script(steps);
-    const auto stops = edge.begin(readers_world::get("/get/"));
-    CHECK(edge.run_to([&] { return edge.held() > 2000000; }));
-    const auto reads = edge.begin(readers_world::get("/get/"));
+    const auto stops = edge.begin(readers_fixture::get("/get/"));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() > 2000000; }));
+    const auto reads = edge.begin(readers_fixture::get("/get/"));
     reads->read(4096, milliseconds(10));
-    CHECK(edge.run_to([&] { return edge.held() > 3000000; }));
-    const auto late = edge.begin(readers_world::get("/get/"));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() > 3000000; }));
+    const auto late = edge.begin(readers_fixture::get("/get/"));
     late->read(16384, milliseconds(0));
     CHECK(edge.run_to(
         [&] { return edge.m_proxy.buffered().disconnected_readers() == 1; }));
@@ -294,15 +297,15 @@
     CHECK(edge.run_to([&] { return stops->ended(); }));
     CHECK(stops->received().size() < bodies[0].size());
     CHECK(edge.m_proxy.buffered().disconnected_readers() == 1);
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
 }
 
 TEST_CASE("large requests are refused while memory is short", "[readers]")
 {
-    readers_world edge(1);
+    readers_fixture edge(1);
     edge.m_first.script({{whole_answer(200, std::string(2800000, 'b'))}});
-    edge.begin(readers_world::get("/get/"));
-    CHECK(edge.run_to([&] { return edge.held() > 2800000; }));
+    edge.begin(readers_fixture::get("/get/"));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() > 2800000; }));
     edge.m_second.script({{whole_answer(200, "fine")}});
     edge.m_first.script({{whole_answer(200, "fine")}});
     const std::string large(200 * kilobyte, 'r');
@@ -313,29 +316,30 @@
     CHECK(has(edge.ask(edge.post("/once/", "small"), "fine"), " 200 "));
     CHECK(has(edge.m_proxy.metrics_text(), "bodies_refused_for_memory 1"));
     edge.m_callers.front()->close();
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
     CHECK(has(edge.ask(edge.post("/once/", large), "fine"), " 200 "));
 }
 
-TEST_CASE("a caller that neither reads nor closes is ended", "[readers]")
+TEST_CASE("a caller that neither reads nor closes is disconnected", "[readers]")
 {
     const bool stream = GENERATE(false, true);
-    readers_world edge(0, milliseconds(1000));
+    readers_fixture edge(0, milliseconds(1000));
     edge.m_first.script(
         {{stream ? event_answer(long_events(100, 8000))
                  : whole_answer(200, std::string(megabyte, 'b')),
           true, after::keep}});
-    edge.begin(readers_world::get(stream ? "/stream/" : "/get/"));
-    CHECK(edge.run_to([&] { return edge.held() > 0; }));
+    edge.begin(readers_fixture::get(stream ? "/stream/" : "/get/"));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() > 0; }));
     CHECK(edge.run_to([&] { return edge.m_proxy.active_requests() == 0; },
                       milliseconds(2000)));
     CHECK(edge.m_proxy.buffered().disconnected_readers() == 1);
-    CHECK(edge.held() == 0);
+    CHECK(edge.buffered_bytes() == 0);
 }
 
-TEST_CASE("a runner that takes no body is given up as unanswered", "[readers]")
+TEST_CASE("a runner that does not read the body times out as unanswered",
+          "[readers]")
 {
-    readers_world edge(0, milliseconds(3000));
+    readers_fixture edge(0, milliseconds(3000));
     asio::io_context& io = edge.m_io;
     tcp::acceptor acceptor(
         io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -349,18 +353,18 @@
     const std::string body(2 * megabyte, 'r');
     const auto caller = edge.begin(edge.post("/once/", body));
     caller->read(4096, milliseconds(0));
-    CHECK(edge.run_to([&] { return edge.held() >= body.size(); }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() >= body.size(); }));
     CHECK(edge.run_to([&] { return has(caller->received(), "\r\n\r\n"); },
                       milliseconds(2500)));
     // It may have run.
     CHECK(has(caller->received(), "HTTP/1.1 502 "));
-    CHECK(edge.run_to([&] { return edge.held() == 0; }));
+    CHECK(edge.run_to([&] { return edge.buffered_bytes() == 0; }));
 }
 
 TEST_CASE("peak memory with a thousand slow readers", "[.memory]")
 {
-    // The proxy has a process of its own, so that callers and runners do not
-    // count.
+    // The proxy runs in a separate process, so that the memory of callers and
+    // runners is not counted.
     std::array<int, 2> to_child{};
     std::array<int, 2> from_child{};
     REQUIRE(pipe(to_child.data()) == 0);
@@ -389,7 +393,7 @@
     {
         callers.push_back(std::make_shared<slow_caller>(io));
         callers.back()->begin(
-            edge, readers_world::get(i % 2 == 0 ? "/get/" : "/stream/"));
+            edge, readers_fixture::get(i % 2 == 0 ? "/get/" : "/stream/"));
         if (i % 6 != 0)
             callers.back()->read(1, milliseconds(1000));
         run_until(
--- a/test/fleet/test_replica_sets.cpp
+++ b/test/fleet/test_replica_sets.cpp
@@ -36,7 +36,7 @@
         REQUIRE(m_state.m_views.size() == 2);
     }
 
-    /// The name of a program that the set keeps.
+    /// Name of a program that the set stores.
     static std::string program_in(std::uint32_t set)
     {
         for (int i = 0;; ++i)
@@ -64,7 +64,7 @@
                         m_client.keep(entry, m_time.now() + default_timeout))
             .value_or(false);
     }
-    /// Of the VMs in a set, those that hold the turn.
+    /// Number of the set's VMs that store the turn.
     std::size_t holders(std::uint32_t set, const std::string& turn)
     {
         std::size_t count = 0;
@@ -95,7 +95,7 @@
         for (const auto& [name, vm] : m_vms)
             vm->m_node->tick();
     }
-    /// Ticks as the daemon does until \p done.
+    /// Runs periodic work as the daemon does until \p done.
     bool tick_until(const std::function<bool()>& done, milliseconds limit)
     {
         auto next = std::chrono::steady_clock::now();
@@ -132,10 +132,10 @@
     }
 }
 
-TEST_CASE("a program goes on from a turn that another set keeps",
+TEST_CASE("a program continues a turn that another set stores",
           "[fleet][replica_sets]")
 {
-    // After a final fault new programs go on from turns of earlier ones.
+    // After a permanent failure new programs continue turns of earlier ones.
     two_sets fleet;
     const auto earlier = two_sets::program_in(0);
     const auto later = two_sets::program_in(1);
@@ -145,27 +145,28 @@
     CHECK(first.m_outcome == begin_outcome::granted);
     CHECK(storage_fixture::text_of(first) == "in-a;out-a;in-b;out-b;");
     REQUIRE(fleet.keep_in(later, "c", "b"));
-    // Now a part of the chain lies in each set.
+    // Now each set stores a part of the turn history.
     const auto second = fleet.begin_in(later, "d", "c");
     CHECK(second.m_outcome == begin_outcome::granted);
     CHECK(storage_fixture::text_of(second) ==
           "in-a;out-a;in-b;out-b;in-c;out-c;");
 }
 
-TEST_CASE("a turn is not there only if no set has it", "[fleet][replica_sets]")
+TEST_CASE("a turn is reported absent only if no set has it",
+          "[fleet][replica_sets]")
 {
     two_sets fleet;
     const auto program = two_sets::program_in(0);
     CHECK(fleet.begin_in(program, "a", "none").m_outcome ==
           begin_outcome::no_such_turn);
-    // Some VM that could have it does not answer: nobody knows.
+    // A VM that could have it does not reply: absence is unknown.
     const auto away = fleet.m_state.m_views[1].m_members.front().m_name;
     fleet.lose(away);
     CHECK(fleet.begin_in(program, "b", "none").m_outcome ==
           begin_outcome::unavailable);
 }
 
-TEST_CASE("one set goes on while the other one is away",
+TEST_CASE("one set serves while the other one is unreachable",
           "[fleet][replica_sets]")
 {
     two_sets fleet;
@@ -178,11 +179,10 @@
           begin_outcome::unavailable);
 }
 
-TEST_CASE("a VM is emptied although every set is as large as is of use",
+TEST_CASE("a VM is emptied although no set needs another member",
           "[fleet][replica_sets]")
 {
-    // It looked for a set to join first, found none, and never said that it
-    // was empty.
+    // The VM has no set to join, and must still report that it is empty.
     storage_fixture fleet;
     for (int i = 0; i < 5; ++i)
         fleet.add(vm_name(i));
@@ -196,13 +196,13 @@
     CHECK(fleet.wait_for("vm-0Fvm-2Fvm-3Fvm-4Fvm-5F"));
 }
 
-TEST_CASE("a few VMs watch the store, and others when these are gone",
+TEST_CASE("a few VMs watch the store, and others when these are lost",
           "[fleet][replica_sets]")
 {
     two_sets fleet;
     REQUIRE(fleet.tick_until([&] { return fleet.watchers() == watcher_count; },
                              milliseconds(8000)));
-    // News reach those that do not watch.
+    // Updates reach VMs that do not watch.
     fleet.m_store.put("op/retire/vm-9", "{}");
     const auto everyone_knows = [&] {
         for (const auto& [name, vm] : fleet.m_vms)
--- a/test/fleet/test_resumed_streams.cpp
+++ b/test/fleet/test_resumed_streams.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Streams that go on at another runner.
+// Streams that are resumed at another runner.
 #include "pepperturn/forward/stream_relay.hpp"
 
 #include "support/fleet/isolated_edge.hpp"
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a stream that breaks goes on at another runner", "[proxy][resume]")
+TEST_CASE("a broken stream is resumed at another runner", "[proxy][resume]")
 {
     struct sample
     {
@@ -36,7 +36,7 @@
         {"closed within an event",
          {event_answer({"a", "b"}, false) + chunk_of("id: 3\ndata: c"), true,
           after::close}},
-        {"silent after an event", {event_answer({"a", "b"}, false)}},
+        {"no data after an event", {event_answer({"a", "b"}, false)}},
     };
     for (const auto& each : samples)
     {
@@ -53,14 +53,14 @@
         CHECK(has(got, whole_end));
         REQUIRE(edge.m_second.requests().size() == 1);
         CHECK(has(edge.m_second.requests().front(), "Last-Event-Id: 2\r\n"));
-        // The run that was left behind is ended.
+        // The abandoned run is ended.
         if (each.m_first.m_after == after::keep)
             CHECK(run_until(edge.m_io,
                             [&] { return edge.m_first.closed() == 1; }));
     }
 }
 
-TEST_CASE("a first event that does not come is asked for elsewhere",
+TEST_CASE("a missing first event is requested from another runner",
           "[proxy][resume]")
 {
     isolated_edge edge;
@@ -73,7 +73,7 @@
     CHECK(run_until(edge.m_io, [&] { return edge.m_first.closed() == 1; }));
 }
 
-TEST_CASE("a stream that nobody goes on with does not look whole",
+TEST_CASE("a stream that cannot be resumed does not look complete",
           "[proxy][resume]")
 {
     const auto second = GENERATE(values<runner_step>({
@@ -94,14 +94,14 @@
     CHECK(edge.m_second.requests().size() == 1);
 }
 
-TEST_CASE("a caller that takes a stream up again is passed on",
+TEST_CASE("a caller's own resumption of a stream is forwarded",
           "[proxy][resume]")
 {
     isolated_edge edge;
     const bool cut_at_once = GENERATE(true, false);
-    const runner_step cut{cut_at_once ? "" : event_answer({"h"}, false, 8),
-                          true, cut_at_once ? after::reset : after::close};
-    edge.m_first.script({cut});
+    const runner_step aborted{cut_at_once ? "" : event_answer({"h"}, false, 8),
+                              true, cut_at_once ? after::reset : after::close};
+    edge.m_first.script({aborted});
     edge.m_second.script({{event_answer({"i"}, true, cut_at_once ? 8 : 9)}});
     const auto got =
         edge.ask(proxy_fixture::post("/resume/", "x", "Last-Event-Id: 7\r\n"),
@@ -113,7 +113,7 @@
     CHECK(has(next, cut_at_once ? "Last-Event-Id: 7" : "Last-Event-Id: 8"));
 }
 
-TEST_CASE("an event's id that is no number is refused", "[proxy][resume]")
+TEST_CASE("an event id that is not a number is refused", "[proxy][resume]")
 {
     isolated_edge edge;
     edge.m_first.script({{event_answer({"a"})}});
@@ -126,10 +126,10 @@
     CHECK(edge.m_first.requests().empty());
 }
 
-TEST_CASE("bytes are passed on whole events at a time", "[resume]")
+TEST_CASE("only complete events are relayed", "[resume]")
 {
-    // Cut anywhere, what is passed on and what a next run adds make the
-    // stream, each event once.
+    // Wherever the stream is cut, the relayed bytes and those of the next run
+    // make up the whole stream, each event once.
     const std::string all = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                             "id: 3\ndata: c\n\n";
     for (std::size_t at = 0; at <= all.size(); ++at)
--- a/test/fleet/test_return.cpp
+++ b/test/fleet/test_return.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// How a VM comes back when all of them start at once: whom it finds, and what
-// it does first.
+// Restart of a VM while all others start: which VMs it finds, and what it does
+// first.
 #include "support/fleet/edge_vm.hpp"
 
 namespace {
@@ -16,7 +16,7 @@
     fleet.m_store.put("op/config",
                       R"({"version":4,"routes":[],"services":[]})");
     fleet.start_three();
-    // The periodic work, by which it would follow the store, does not run.
+    // Its periodic work, which would start following the store, does not run.
     edge_vm edge(
         fleet, fleet.m_time,
         {edge_vm::free_address(fleet.m_io), edge_vm::free_address(fleet.m_io)});
@@ -24,7 +24,7 @@
     CHECK_FALSE(edge.m_source.running());
 }
 
-TEST_CASE("a storage VM that starts answers before it reads routes", "[fleet]")
+TEST_CASE("a starting storage VM replies before it decodes routes", "[fleet]")
 {
     storage_fixture fleet;
     fleet.m_store.put("op/config",
--- a/test/fleet/test_start_of_all.cpp
+++ b/test/fleet/test_start_of_all.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// What an edge VM takes in when all VMs start at once: it has to be few, since
-// a small VM hears nothing else meanwhile.
+// Runner entries that an edge VM receives when all VMs start at once: they have
+// to be few, since a small VM handles nothing else meanwhile.
 #include "support/fleet/edge_vm.hpp"
 #include "support/fleet/stoppable_clock.hpp"
 
@@ -11,16 +11,16 @@
 using namespace pepperturn;
 using namespace pepperturn::test;
 
-/// Fewer than the storage VMs, so that the fleet counts as large.
+/// Fewer than the storage VMs, so that the fleet is treated as large.
 constexpr std::size_t few_links = 2;
-/// Runners that a seed tells whoever looks for members.
+/// Runners that a seed sends to a VM that looks for members.
 constexpr std::size_t short_list = 1000;
-/// For what the test sets up on a machine that does much else.
-constexpr milliseconds busy_patience{30000};
+/// Timeout of the test's setup on a busy machine.
+constexpr milliseconds setup_timeout{30000};
 
 } // namespace
 
-// Hundreds of edge VMs that read all runners are deaf to the configuration.
+// Hundreds of edge VMs that read all runners would delay the configuration.
 TEST_CASE("an edge VM reads no runners from the store at a start of all",
           "[fleet]")
 {
@@ -38,8 +38,8 @@
             [runners, node = vm->m_node.get()] {
                 return node->state().m_runners.size() == runners;
             },
-            busy_patience));
-    // Lists say how new they are once no entry can have lapsed by accident.
+            setup_timeout));
+    // Lists carry a revision once no entry can have expired by accident.
     const auto all_dated = [&] {
         return std::all_of(
             fleet.m_vms.begin(), fleet.m_vms.end(), [](const auto& row) {
@@ -53,7 +53,7 @@
         run_until(fleet.m_io, all_dated, milliseconds(100));
     }
     REQUIRE(all_dated());
-    // What they know is written to their disks with a delay.
+    // Their state is written to disk with a delay.
     run_until(
         fleet.m_io, [] { return false; }, milliseconds(300));
     for (const auto& [name, vm] : fleet.m_vms)
@@ -69,7 +69,7 @@
     edge_vm edge(fleet, time, seeds, few_links);
     CHECK(edge.run_to(
         [&] { return edge.figure("runner_entries_told") >= runners; }));
-    // Longer than a small fleet's edge VM leaves the store alone.
+    // Longer than a small fleet's edge VM waits before it reads the store.
     time.advance(milliseconds(1000));
     edge.m_node->tick();
     CHECK_FALSE(edge.m_source.running());
@@ -78,7 +78,7 @@
                       R"({"version":5,"routes":[],"services":[]})");
     CHECK(edge.run_to([&] { return edge.figure("config_version") == 5; }));
     CHECK(edge.figure("runner_entries_read") == 0);
-    // A short list by each seed, or a long one by the first source alone.
+    // A short list from each seed, or a long one from the first source only.
     CHECK(edge.figure("runner_entries_told") <=
           std::max(2 * runners, seeds.size() * short_list));
 }
--- a/test/fleet/test_storage_vms.cpp
+++ b/test/fleet/test_storage_vms.cpp
@@ -14,12 +14,12 @@
 
 TEST_CASE("three VMs that start at once all become full", "[fleet]")
 {
-    // Two that joined together once waited for each other for ever.
+    // Two that join at the same time must not wait for each other forever.
     storage_fixture fleet;
     fleet.start_three();
 }
 
-TEST_CASE("a VM that is to be emptied hands everything over first", "[fleet]")
+TEST_CASE("a VM to be emptied hands over all data first", "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
@@ -36,7 +36,7 @@
     CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
-TEST_CASE("a storage VM tells its figures", "[fleet]")
+TEST_CASE("a storage VM reports its metrics", "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
@@ -52,23 +52,23 @@
     asio::write(reader, asio::buffer(question), ec);
     REQUIRE_FALSE(ec);
     reader.non_blocking(true);
-    std::string told;
+    std::string text;
     REQUIRE(run_until(fleet.m_io, [&] {
         std::array<char, 4096> chunk{};
         error_code read;
         const auto count = reader.read_some(asio::buffer(chunk), read);
-        told.append(chunk.data(), count);
+        text.append(chunk.data(), count);
         return read && read != asio::error::would_block;
     }));
     for (const char* name : {"turns 1", "programs 1", "view_members 3",
                              "questions_ok ", "sync_ms{le=\"30000\"} "})
     {
         INFO(name);
-        CHECK(told.find(std::string("\n") + name) != std::string::npos);
+        CHECK(text.find(std::string("\n") + name) != std::string::npos);
     }
 }
 
-TEST_CASE("figures give way to frames on the same port", "[fleet]")
+TEST_CASE("frames take precedence over metrics on the same port", "[fleet]")
 {
     storage_fixture fleet;
     storage_vm vm(fleet.m_io, fleet.m_time, fleet.m_store.address(), "vm-0",
@@ -82,7 +82,7 @@
 
 TEST_CASE("of three VMs one is emptied and one is lost: turns go on", "[fleet]")
 {
-    // The view once had no way out of this, also with another VM added.
+    // The view must be able to leave this state when another VM is added.
     storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
@@ -90,8 +90,8 @@
     REQUIRE(fleet.wait_for("vm-0Fvm-2F"));
     fleet.lose("vm-2");
     fleet.add("vm-3", false);
-    // The new one has its copies, then the silent one is taken for lost, and
-    // dropped once nothing can be on it alone.
+    // The new VM has its copies, then the unresponsive one is marked lost, and
+    // removed once no data can be on it alone.
     REQUIRE(fleet.wait_for("vm-0Fvm-2Fvm-3F"));
     REQUIRE(
         run_until(fleet.m_io, [&] { return fleet.m_links.connected("vm-3"); }));
@@ -102,7 +102,7 @@
     CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
-TEST_CASE("the last VM acknowledges nothing alone, and goes on with the other",
+TEST_CASE("the last VM acknowledges nothing alone, and resumes with another",
           "[fleet]")
 {
     storage_fixture fleet;
@@ -131,7 +131,7 @@
           std::string::npos);
 }
 
-TEST_CASE("an added VM copies what was kept before it came", "[fleet]")
+TEST_CASE("an added VM copies what was stored before it joined", "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
@@ -158,7 +158,7 @@
     CHECK(turns == 40);
 }
 
-TEST_CASE("the world is remembered over a restart", "[fleet]")
+TEST_CASE("the cluster state is kept over a restart", "[fleet]")
 {
     storage_fixture fleet;
     fleet.m_store.put("op/config", R"({"version":4})");
@@ -168,7 +168,7 @@
         return !fleet.m_state.m_config.empty() &&
                !fleet.m_state.m_runners.empty();
     }));
-    // A little longer than it takes until the last news is written.
+    // A little longer than it takes until the last update is written.
     const auto saved = std::chrono::steady_clock::now() + milliseconds(300);
     run_until(fleet.m_io,
               [&] { return std::chrono::steady_clock::now() >= saved; });
@@ -176,20 +176,20 @@
     fleet.m_store.set_down(true);
     fleet.restart("vm-0");
     member_links newcomer(fleet.m_io, fleet.m_time, "edge-2");
-    cluster_state heard;
-    newcomer.on_state([&](const std::string&, const cluster_state& news) {
-        merge_state(heard, news);
+    cluster_state received;
+    newcomer.on_state([&](const std::string&, const cluster_state& update) {
+        merge_state(received, update);
     });
     newcomer.connect_seeds(
         {"127.0.0.1:" + std::to_string(fleet.m_vms["vm-0"]->m_port)});
-    REQUIRE(run_until(fleet.m_io, [&] { return !heard.m_views.empty(); }));
-    CHECK(heard.m_config == R"({"version":4})");
-    CHECK(heard.m_views.front().m_members.size() == 3);
-    REQUIRE(heard.m_runners.size() == 1);
-    CHECK(heard.m_runners.front().m_name == "i-1");
+    REQUIRE(run_until(fleet.m_io, [&] { return !received.m_views.empty(); }));
+    CHECK(received.m_config == R"({"version":4})");
+    CHECK(received.m_views.front().m_members.size() == 3);
+    REQUIRE(received.m_runners.size() == 1);
+    CHECK(received.m_runners.front().m_name == "i-1");
 }
 
-TEST_CASE("a VM tells what it knows before its disk is loaded", "[fleet]")
+TEST_CASE("a VM sends its state before its disk is loaded", "[fleet]")
 {
     storage_fixture fleet;
     turn_log log(fleet.m_folder + "/loading", 1U << 20U);
@@ -207,14 +207,14 @@
                         member_state::full}}}};
     server.take_state(known);
     member_links newcomer(fleet.m_io, fleet.m_time, "edge-2");
-    cluster_state heard;
-    newcomer.on_state([&](const std::string&, const cluster_state& news) {
-        if (!merge_state(heard, news).m_views.empty())
-            newcomer.set_members(members_of(heard.m_views));
+    cluster_state received;
+    newcomer.on_state([&](const std::string&, const cluster_state& update) {
+        if (!merge_state(received, update).m_views.empty())
+            newcomer.set_members(members_of(received.m_views));
     });
     newcomer.connect_seeds({"127.0.0.1:" + std::to_string(port)});
     REQUIRE(run_until(fleet.m_io, [&] { return newcomer.connected("vm-9"); }));
-    CHECK(heard.m_config == "three");
+    CHECK(received.m_config == "three");
     const auto ask = [&] {
         const auto answer = run_task(
             fleet.m_io, newcomer.request("vm-9", 5, fetch_message{"a"},
@@ -223,7 +223,7 @@
         REQUIRE(answer->has_value());
         return (*answer)->m_status;
     };
-    // Nothing is said of what may be on the disk.
+    // Requests for data that may be on the disk fail.
     CHECK(ask() == frame_status::failed);
     server.open(7);
     CHECK(ask() == frame_status::ok);
--- a/test/fleet/test_turns.cpp
+++ b/test/fleet/test_turns.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-TEST_CASE("a turn goes on from what was kept", "[fleet]")
+TEST_CASE("a turn continues a stored turn", "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
@@ -29,7 +29,7 @@
 {
     storage_fixture fleet;
     fleet.start_three();
-    // Each holds 50 until it is settled.
+    // Each reserves 50 until it is settled.
     CHECK(fleet.begin(storage_fixture::request("a", "", 120)).m_outcome ==
           begin_outcome::granted);
     CHECK(fleet.begin(storage_fixture::request("b", "", 120)).m_outcome ==
@@ -42,12 +42,13 @@
           begin_outcome::granted);
 }
 
-TEST_CASE("one storage VM away: served, but not certain of absence", "[fleet]")
+TEST_CASE("one storage VM unreachable: served, but absence is not certain",
+          "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
-    // Its listener is gone, its disk is not.
+    // Its listener has closed, its disk still exists.
     fleet.lose("vm-0");
     REQUIRE_FALSE(fleet.m_links.connected("vm-0"));
     const auto result = fleet.begin(storage_fixture::request("b", "a"));
@@ -59,12 +60,12 @@
             .m_outcome == begin_outcome::unavailable);
 }
 
-TEST_CASE("a VM that no storage VM answers says so soon", "[fleet]")
+TEST_CASE("a VM that no storage VM replies to fails soon", "[fleet]")
 {
     storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
-    // Nobody is there any more.
+    // No storage VM is left.
     for (const auto& [name, vm] : fleet.m_vms)
         vm->m_node->stop();
     fleet.m_io.run_for(milliseconds(400));
@@ -76,10 +77,11 @@
     CHECK(fleet.m_time.now() - asked < milliseconds(4000));
 }
 
-TEST_CASE("a chain whose parts lie on different VMs is put together", "[fleet]")
+TEST_CASE("a turn history whose parts lie on different VMs is assembled",
+          "[fleet]")
 {
-    // The nearest VM lacks a part in the middle, which is fetched from
-    // another; that once freed memory twice.
+    // The nearest VM lacks a part in the middle, which is fetched from another;
+    // guards against a double free on that path.
     storage_fixture fleet;
     fleet.add("vm-0");
     fleet.add("vm-1");
@@ -98,7 +100,7 @@
                            turn_record{std::string(60, 'y'), long_id, "in-y;",
                                        "out-y;", "run", key_of("program"),
                                        key_of("y"), 30}};
-    // Only vm-1 and vm-2 get the middle one.
+    // Only vm-1 and vm-2 store the middle turn.
     for (const char* name : {"vm-1", "vm-2"})
     {
         bool done = false;
--- a/test/fleet/test_workspace_limits.cpp
+++ b/test/fleet/test_workspace_limits.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Freshness and limits of workspaces over real connections: storage
-// VMs, the store's stand-in, and an edge VM's questions.
+// Freshness and limits of workspaces over real connections: storage VMs, a
+// stand-in of the store, and an edge VM's requests.
 #include "pepperturn/cluster/freshness_poller.hpp"
 #include "pepperturn/forward/quota_client.hpp"
 
@@ -15,7 +15,7 @@
     R"({"version":1,"routes":[],"services":[],"tenants":[
         {"name":"a","api_keys":["k"],"rate_per_s":40,"burst":40}]})";
 constexpr quota_request one_request{7, {40, 40}, 1, 0, false, false};
-/// Short, so that a takeover is waited for in the test.
+/// Short, so that the test can wait for a takeover.
 constexpr std::uint32_t short_revoke_ms = 2500;
 
 /// A fleet whose callers have keys.
@@ -77,7 +77,7 @@
         run([&] { return out.has_value(); });
         return out.value_or(quota_grant{});
     }
-    /// Asks until the answer is \p wanted.
+    /// Requests grants until the outcome is \p wanted.
     bool take_until(quota_outcome wanted)
     {
         const auto end = m_time.now() + default_timeout;
@@ -108,7 +108,7 @@
     keyed_fleet fleet;
     const milliseconds fresh{1500};
     REQUIRE(fleet.run([&] { return fleet.fresher_than(fresh); }));
-    // Without the store nobody gets younger.
+    // Without the store no age decreases.
     fleet.m_store.set_down(true);
     const auto before = fleet.m_freshness.freshness().m_config_confirmed_at;
     REQUIRE(fleet.run([&] { return !fleet.fresher_than(fresh); }));
@@ -126,7 +126,7 @@
 TEST_CASE("a limit over three owners, and one that is lost", "[fleet][tenancy]")
 {
     keyed_fleet fleet;
-    // Nobody grants before the owners of before are surely over.
+    // No owner grants before the previous owners' time has surely expired.
     REQUIRE(fleet.run([&] { return fleet.states() == "vm-0Fvm-1Fvm-2F"; }));
     CHECK(fleet.take().m_outcome == quota_outcome::not_owner);
     REQUIRE(fleet.take_until(quota_outcome::granted));
@@ -137,20 +137,20 @@
         ++granted;
     CHECK(last.m_outcome == quota_outcome::over_limit);
     CHECK(last.m_retry_after > milliseconds(0));
-    // Owners that have just begun count the most that may have been granted
-    // before them; room comes by quarter seconds.
+    // New owners assume the maximum that may have been granted before them;
+    // capacity becomes available every quarter second.
     const auto took = to_seconds(fleet.m_time.now() - begun);
     const double most = max_in_window({40, 40}, 1, {});
     CHECK(granted <= std::min(most, most - 40 * 5 + 40 * (took + 0.5)));
     CHECK(granted >= 40 / 4 - static_cast<int>(target_owner_count));
-    // What one owner does not count, the others do.
+    // The remaining owners take over the lost owner's share.
     fleet.lose("vm-1");
     const auto pause = fleet.m_time.now() + milliseconds(400);
     fleet.run([&] { return fleet.m_time.now() >= pause; });
     CHECK(fleet.take_until(quota_outcome::granted));
 }
 
-TEST_CASE("after a restart of all owners a limit comes back by and by",
+TEST_CASE("after a restart of all owners a limit recovers gradually",
           "[fleet][tenancy]")
 {
     keyed_fleet fleet;
@@ -159,12 +159,12 @@
     const auto restarted = fleet.m_time.now();
     fleet.restart_all();
     REQUIRE(fleet.run([&] { return fleet.watching().size() == 3; }));
-    // They know from their disks that the shares were theirs.
+    // They know from their disks that they owned the shares.
     REQUIRE(fleet.take_until(quota_outcome::granted));
     int granted = 1;
     while (fleet.take().m_outcome == quota_outcome::granted)
         ++granted;
-    // What may have been granted before leaves the window step by step.
+    // Earlier grants leave the window step by step.
     const auto took = to_seconds(fleet.m_time.now() - restarted);
     CHECK(granted <= 40 * took + 1);
 }
--- a/test/support/fleet/connectivity_fixture.hpp
+++ b/test/support/fleet/connectivity_fixture.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
 /// Edge VMs beside the storage VMs of a \ref storage_fixture: some relay, one
-/// has links that may be cut, and some neighbours only pretend.
+/// has links that may be partitioned, and some relay peers are scripted.
 #pragma once
 
 #include "pepperturn/fleet/edge_connectivity.hpp"
@@ -11,7 +11,7 @@
 
 namespace pepperturn::test {
 
-/// Three storage VMs that send beats.
+/// Three storage VMs that send heartbeats.
 struct connectivity_fixture : storage_fixture
 {
     connectivity_fixture()
@@ -42,7 +42,7 @@
     }
 };
 
-/// An edge VM's links, relay and turn client; each link is a wire of its own.
+/// An edge VM's links, relay and turn client; each link can be partitioned.
 class partitionable_edge
 {
 public:
@@ -56,8 +56,8 @@
     {
         if (!relays)
             m_settings.m_relay_address.clear();
-        m_connectivity.on_state([this](const cluster_state& news) {
-            merge_state(m_received_state, news);
+        m_connectivity.on_state([this](const cluster_state& update) {
+            merge_state(m_received_state, update);
         });
         std::string reason;
         INFO(reason);
@@ -114,11 +114,10 @@
         return std::stoull(text.substr(found + name.size() + 2));
     }
     begin_result begin(const begin_request& what,
-                       milliseconds patience = default_timeout)
+                       milliseconds timeout = default_timeout)
     {
-        auto result =
-            run_task(m_fleet.m_io,
-                     m_client.begin(what, m_fleet.m_time.now() + patience));
+        auto result = run_task(
+            m_fleet.m_io, m_client.begin(what, m_fleet.m_time.now() + timeout));
         REQUIRE(result.has_value());
         return *result;
     }
@@ -140,7 +139,7 @@
     member_links m_links;
     edge_connectivity m_connectivity;
     turn_client m_client;
-    /// What neighbours have told of the world.
+    /// Cluster state received from relay peers.
     cluster_state m_received_state;
 
 private:
@@ -157,7 +156,7 @@
     }
 };
 
-/// A neighbour that takes questions and does with them what a test says.
+/// A relay peer that handles requests by a test's handler.
 class fake_relay_peer
 {
 public:
--- a/test/support/fleet/edge_vm.hpp
+++ b/test/support/fleet/edge_vm.hpp
@@ -14,8 +14,8 @@
 
 struct edge_vm
 {
-    /// \param seeds addresses of storage VMs; those that do not answer are down
-    /// \param kept_links storage VMs beyond which the fleet counts as large
+    /// \param seeds addresses of storage VMs; unanswered ones are down
+    /// \param kept_links number of storage VMs above which a fleet is large
     edge_vm(storage_fixture& fleet, const pepperturn::clock& time,
             std::vector<std::string> seeds,
             std::uint32_t kept_links = fleet_settings{}.m_kept_links)
@@ -39,7 +39,7 @@
         REQUIRE(m_node->start(reason));
     }
 
-    /// Where nobody listens.
+    /// An address that nothing listens at.
     [[nodiscard]] static std::string free_address(asio::io_context& io)
     {
         return "127.0.0.1:" + std::to_string(free_port(io));
@@ -50,27 +50,27 @@
         tcp::socket reader(m_fleet.m_io);
         reader.connect(parse_endpoint(m_ready, ec), ec);
         REQUIRE_FALSE(ec);
-        const std::string question =
+        const std::string request =
             "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
-        asio::write(reader, asio::buffer(question), ec);
+        asio::write(reader, asio::buffer(request), ec);
         reader.non_blocking(true);
-        std::string told;
+        std::string received;
         run_until(m_fleet.m_io, [&] {
             std::array<char, 512> chunk{};
             error_code read;
             const auto count = reader.read_some(asio::buffer(chunk), read);
-            told.append(chunk.data(), count);
+            received.append(chunk.data(), count);
             return read && read != asio::error::would_block;
         });
-        return told.starts_with("HTTP/1.1 200");
+        return received.starts_with("HTTP/1.1 200");
     }
 
     /// Runs all VMs, with their periodic work, until \p done.
     bool run_to(const std::function<bool()>& done)
     {
         constexpr milliseconds tick_interval{50};
-        constexpr int most_ticks = 600;
-        for (int i = 0; i < most_ticks; ++i)
+        constexpr int max_ticks = 600;
+        for (int i = 0; i < max_ticks; ++i)
         {
             if (run_until(m_fleet.m_io, done, tick_interval))
                 return true;
@@ -80,7 +80,8 @@
         }
         return false;
     }
-    /// \returns 0 if it is not told
+    /// Value of a metric.
+    /// \returns 0 if it is not reported
     [[nodiscard]] std::uint64_t figure(const std::string& name) const
     {
         const auto text = m_node->metrics_text();
--- a/test/support/fleet/isolated_edge.hpp
+++ b/test/support/fleet/isolated_edge.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// A proxy that has no storage VM.
+/// A proxy without storage VMs.
 #pragma once
 
 #include "support/fleet/proxy_fixture.hpp"
@@ -24,7 +24,8 @@
 public:
     isolated_edge() : proxy_fixture(m_own_io, m_own_turns) {}
 
-    /// Cold runners bear \p per_s calls, and nobody is there to count them.
+    /// Limits cold runners to \p per_s calls per second, with no owner
+    /// reachable to count them.
     void limit_cold(double per_s)
     {
         auto changed = config(2);
--- a/test/support/fleet/loop.hpp
+++ b/test/support/fleet/loop.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Runs an Asio loop until something is true, with a limit so that a fault
-/// shows as a failed test and not as a hang.
+/// Runs an Asio loop until a condition holds, with a limit so that a fault
+/// fails the test instead of hanging it.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -26,7 +26,7 @@
     return true;
 }
 
-/// Runs \p work to its end; empty if it takes longer than \p limit.
+/// Runs \p work to completion; empty if it takes longer than \p limit.
 template <class T>
 std::optional<T> run_task(asio::io_context& io, task<T> work,
                           milliseconds limit = milliseconds(10000))
@@ -40,7 +40,7 @@
     return out;
 }
 
-/// A port that the kernel had free a moment ago.
+/// A port that was free a moment ago.
 inline std::uint16_t free_port(asio::io_context& io)
 {
     tcp::acceptor probe(io,
@@ -48,7 +48,7 @@
     return probe.local_endpoint().port();
 }
 
-/// Hands every connection to \p take until \p acceptor is closed.
+/// Passes every connection to \p take until \p acceptor is closed.
 inline task<> accept_all(tcp::acceptor& acceptor,
                          std::function<void(tcp::socket)> take)
 {
--- a/test/support/fleet/member_letters.hpp
+++ b/test/support/fleet/member_letters.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Members' states in the texts that tests compare.
+/// Letters for members' states, for texts that tests compare.
 #pragma once
 
 #include "pepperturn/cluster/view.hpp"
--- a/test/support/fleet/partitionable_link.hpp
+++ b/test/support/fleet/partitionable_link.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// A connection's way through a network that may be cut: forwards TCP to a
-/// port, and holds bytes back in either direction while it is cut there.
+/// A TCP proxy that simulates network partitions: forwards connections to a
+/// port, and holds back the bytes of either direction while it is partitioned.
 #pragma once
 
 #include "support/fleet/loop.hpp"
@@ -36,7 +36,7 @@
     {
         m_state->m_partitioned = {forth, back};
     }
-    /// Connections break and none is made until \ref open.
+    /// Closes all connections; none is accepted until \ref open.
     void close()
     {
         error_code ignored;
@@ -56,7 +56,7 @@
     }
 
 private:
-    /// Outlives the wire while bytes are under way.
+    /// Outlives the proxy while bytes are in flight.
     struct shared_state
     {
         std::array<bool, 2> m_partitioned{};
--- a/test/support/fleet/platform_store.cpp
+++ b/test/support/fleet/platform_store.cpp
@@ -125,13 +125,13 @@
     while (true)
     {
         error_code ec;
-        request question;
-        co_await http::async_read(*socket, buffer, question, into(ec));
+        request call;
+        co_await http::async_read(*socket, buffer, call, into(ec));
         if (ec)
             co_return;
         ++m_calls;
-        auto out = co_await answer(question);
-        if (question.method() == http::verb::post &&
+        auto out = co_await answer(call);
+        if (call.method() == http::verb::post &&
             std::exchange(m_lose_answer, false))
         {
             socket->close(ec);
@@ -143,10 +143,9 @@
     }
 }
 
-task<platform_store::response> platform_store::answer(const request& question)
+task<platform_store::response> platform_store::answer(const request& call)
 {
-    const std::string target(question.target().data(),
-                             question.target().size());
+    const std::string target(call.target().data(), call.target().size());
     auto query = query_of(target);
     if (m_down)
         co_return reply(503, json::object());
@@ -166,7 +165,7 @@
     }
     if (target.starts_with("/api/kv-range"))
     {
-        // Two items a page, so that pages are gone through.
+        // Two items a page, so that clients have to follow pages.
         constexpr std::size_t page = 2;
         json items = json::array();
         bool more = false;
@@ -188,7 +187,7 @@
     if (target.starts_with("/api/kv-watch"))
         co_return co_await answer_watch(std::move(query));
     if (target == "/api/kv-txn")
-        co_return answer_write(question);
+        co_return answer_write(call);
     co_return reply(404, json::object());
 }
 
@@ -230,9 +229,9 @@
     co_return reply(200, {{"events", events}, {"as_of", m_revision}});
 }
 
-platform_store::response platform_store::answer_write(const request& question)
+platform_store::response platform_store::answer_write(const request& call)
 {
-    const auto body = json::parse(question.body());
+    const auto body = json::parse(call.body());
     for (const auto& row : body.at("expected_rev"))
     {
         const auto found = m_items.find(row.at("key").get<std::string>());
--- a/test/support/fleet/platform_store.hpp
+++ b/test/support/fleet/platform_store.hpp
@@ -28,11 +28,11 @@
     void remove(const std::string& key);
     [[nodiscard]] std::string value_of(const std::string& key) const;
 
-    /// While set, every call is answered 503 and waiting watches are cut.
+    /// While set, every call is answered 503 and open watches are aborted.
     void set_down(bool down);
-    /// Changes before now are forgotten.
+    /// Drops the history of changes up to now.
     void compact();
-    /// The next write is done, but its connection ends without an answer.
+    /// The next write is applied, but its connection ends without a response.
     void lose_next_answer()
     {
         m_lose_answer = true;
@@ -53,9 +53,9 @@
     using response = http::response<http::string_body>;
 
     task<> serve(std::shared_ptr<tcp::socket> socket);
-    task<response> answer(const request& question);
+    task<response> answer(const request& call);
     task<response> answer_watch(std::map<std::string, std::string> query);
-    response answer_write(const request& question);
+    response answer_write(const request& call);
     void changed();
 
     asio::io_context& m_io;
--- a/test/support/fleet/proxy_fixture.hpp
+++ b/test/support/fleet/proxy_fixture.hpp
@@ -29,7 +29,7 @@
         std::string reason;
         REQUIRE(m_proxy.listen(endpoint(), reason));
         m_proxy.apply_config(config(1));
-        // The draw among equals is fixed by the zones.
+        // Different zones make the choice among equal runners deterministic.
         m_proxy.set_runners({{"r1", "svc", m_first.address(), "z", 4, false},
                              {"r2", "svc", m_second.address(), "y", 4, false}});
     }
--- a/test/support/fleet/runner.hpp
+++ b/test/support/fleet/runner.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Stand-in of a runner on loopback: answers requests as a script says, byte
-/// by byte, and keeps what it was sent.
+/// Scripted runner on loopback: sends given responses byte for byte, and
+/// records the requests that it receives.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
@@ -10,10 +10,10 @@
 
 namespace pepperturn::test {
 
-/// What the runner does with one request.
+/// How the runner handles one request.
 struct runner_step
 {
-    /// Sent as it stands; ID stands for the request's id.
+    /// Sent verbatim, with ID replaced by the request's id.
     std::string m_bytes;
     /// Wait for the whole request before answering.
     bool m_read_all = true;
@@ -24,7 +24,7 @@
         close,
         reset
     } m_after = after::keep;
-    /// Sent this much later on the kept connection, to nobody's request.
+    /// Sent \ref m_delay later on the kept connection, without a request.
     std::string m_surplus = {};
     milliseconds m_delay{0};
 };
@@ -64,10 +64,10 @@
     std::size_t m_closed = 0;
 };
 
-/// A whole answer of the runner, signed, with a length.
+/// A complete response of the runner, signed, with a length.
 [[nodiscard]] std::string whole_answer(unsigned status, const std::string& body,
                                        const std::string& more_lines = {});
-/// An answer of events in chunks, ended.
+/// A complete response of events in chunks.
 /// \param first id of the first event
 [[nodiscard]] std::string event_answer(const std::vector<std::string>& events,
                                        bool ended = true, int first = 1);
--- a/test/support/fleet/scratch_folder.hpp
+++ b/test/support/fleet/scratch_folder.hpp
@@ -10,8 +10,8 @@
 namespace pepperturn::test {
 
 /// A new empty folder, in memory where the machine offers that: these tests
-/// are about what is written, and a busy machine's disk may take seconds over
-/// a sync (7.7 s were seen beside builds).
+/// check what is written, and a sync of a busy machine's disk may take seconds
+/// (up to 7.7 s beside builds).
 [[nodiscard]] inline std::string make_scratch_folder(const std::string& prefix)
 {
     const std::filesystem::path in_memory = "/dev/shm";
--- a/test/support/fleet/slow_caller.hpp
+++ b/test/support/fleet/slow_caller.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// A caller that reads as slowly as it is told to, over a connection whose
-/// own window is small, so that what it leaves unread stays with the VM.
+/// A caller that reads at a set rate, over a connection with a small receive
+/// window, so that unread data stays buffered at the VM.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
--- a/test/support/fleet/stoppable_clock.hpp
+++ b/test/support/fleet/stoppable_clock.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The machine's clock, which a test may stop and move on by hand, so that
-/// nothing is late for what else the machine does.
+/// The machine's clock, which a test may stop and advance, so that load on the
+/// machine makes nothing late.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
--- a/test/support/fleet/storage_fixture.hpp
+++ b/test/support/fleet/storage_fixture.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Storage VMs on disks of their own, the platform's store and an edge VM's
+/// Storage VMs with separate disks, the platform's store and an edge VM's
 /// client, in one process.
 #pragma once
 
@@ -87,8 +87,8 @@
     {
         m_folder = make_scratch_folder("fleet");
         REQUIRE_FALSE(m_folder.empty());
-        m_edge_source.on_state([this](const cluster_state& news) {
-            if (!merge_state(m_state, news).m_views.empty())
+        m_edge_source.on_state([this](const cluster_state& update) {
+            if (!merge_state(m_state, update).m_views.empty())
             {
                 m_links.set_members(members_of(m_state.m_views));
                 m_client.follow(m_state.m_views);
@@ -123,7 +123,7 @@
     {
         return run_until(m_io, [&] { return states() == expected; });
     }
-    /// Ends a VM that does not come back.
+    /// Stops a VM for good.
     void lose(const std::string& name)
     {
         m_vms[name]->m_node->stop();
@@ -143,8 +143,7 @@
         }));
     }
 
-    /// Ends all VMs and starts them anew with their disks, at the same
-    /// addresses.
+    /// Restarts all VMs with their disks, at the same addresses.
     void restart_all()
     {
         std::map<std::string, std::uint16_t> ports;
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Stops a VM and starts it anew with its disk, at another address.
+    /// Restarts a VM with its disk, at another address.
     void restart(const std::string& name)
     {
         m_vms[name]->m_node->stop();
@@ -185,10 +184,10 @@
                 retention_ms,      parent};
     }
     begin_result begin(const begin_request& what,
-                       milliseconds patience = default_timeout)
+                       milliseconds timeout = default_timeout)
     {
         auto result =
-            run_task(m_io, m_client.begin(what, m_time.now() + patience));
+            run_task(m_io, m_client.begin(what, m_time.now() + timeout));
         REQUIRE(result.has_value());
         return *result;
     }
@@ -198,9 +197,9 @@
                               turn_record{id, parent, "in-" + id + ';',
                                           "out-" + id + ';', "run",
                                           key_of("program"), key_of(id), 30}};
-        const auto kept = run_task(
+        const auto stored = run_task(
             m_io, m_client.keep(entry, m_time.now() + default_timeout));
-        return kept.value_or(false);
+        return stored.value_or(false);
     }
     static std::string text_of(const begin_result& result)
     {
@@ -217,10 +216,10 @@
     member_links m_links;
     turn_client m_client;
     cluster_state m_state;
-    /// How long a key that was taken away may be used, of VMs added later.
+    /// Maximum time that a revoked key is accepted, for VMs added later.
     std::uint32_t m_revoke_ms = 5000;
     std::string m_folder;
-    /// Goes after the VMs, whose writers may be at work until they end.
+    /// Destroyed after the VMs, whose writers may be running until then.
     folder_remover m_remover{m_folder};
     std::map<std::string, std::unique_ptr<storage_vm>> m_vms;
     std::vector<std::unique_ptr<storage_vm>> m_stopped;
