--- a/include/pepperturn/scheduling/engine_memory.hpp
+++ b/include/pepperturn/scheduling/engine_memory.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Which prompt parts an engine is thought to hold in its memory.
+/// Estimates which prompt parts an engine has in its prefix cache.
 ///
 /// Load pattern: long prompt parts that many programs share, and histories
-/// that grow from turn to turn. Reading a shared part anew stops all runs of
-/// an engine for some tens of milliseconds, so whoever places calls keeps
-/// account of what each engine has read.
+/// that grow with each turn. Prefilling a shared part again stalls all calls
+/// of an engine for some tens of milliseconds, so the placing VM tracks what
+/// each engine has prefilled.
 #pragma once
 
 #include "pepperturn/scheduling/prompt_home.hpp"
@@ -16,27 +16,28 @@
 
 namespace pepperturn {
 
-/// Parts of a prompt that are looked at; what comes after counts as not held.
+/// Parts of a prompt that are considered; later parts are treated as not
+/// cached.
 constexpr std::size_t max_prompt_parts = 32;
-/// Rows kept for an engine at most; the least recently used go first. An
-/// engine has room for some dozens of long parts or histories. With a prompt's
-/// parts on top they fill a vector of 128.
+/// Parts tracked per engine; the least recently used are evicted first. An
+/// engine has memory for some dozens of long parts or histories. Together with
+/// the parts of one prompt they fill a vector of 128.
 constexpr std::size_t max_cached_parts = 96;
 
-/// A part that an engine holds.
+/// A prompt part in an engine's cache.
 struct cached_part
 {
     std::uint64_t m_id = 0;
     std::uint32_t m_tokens = 0;
-    /// No call has ended whole with it yet.
+    /// No call has completed with it yet.
     bool m_unconfirmed = false;
-    /// The call that was to read it.
+    /// The call that was to prefill it.
     std::uint64_t m_call = 0;
 
     friend bool operator==(const cached_part&, const cached_part&) = default;
 };
 
-/// Parts in an engine's memory, the least recently used first.
+/// Parts in an engine's cache, the least recently used first.
 struct engine_cache
 {
     std::vector<cached_part> m_parts;
@@ -44,22 +45,23 @@
     friend bool operator==(const engine_cache&, const engine_cache&) = default;
 };
 
-/// Tokens at the beginning of a prompt that the engine holds: a part counts
-/// only if all before it are held whole.
+/// Length of the cached prefix of a prompt, in tokens: a part counts only if
+/// all parts before it are completely cached.
 [[nodiscard]] std::uint32_t
 cached_prefix_tokens(const engine_cache& memory,
                      const std::vector<prompt_part>& parts);
 
-/// A call was sent there that will read these parts.
-/// \param capacity tokens that fit; 0: not told
+/// Records that a call was sent that will prefill these parts.
+/// \param capacity tokens that fit into the cache; 0: unknown
 void expect_parts(engine_cache& memory, const std::vector<prompt_part>& parts,
                   std::uint64_t call, std::uint64_t capacity);
 
-/// The call has ended whole: the engine holds these parts.
+/// The call has completed: the engine has these parts cached.
 void confirm_parts(engine_cache& memory, const std::vector<prompt_part>& parts,
                    std::uint64_t capacity);
 
-/// The call has ended otherwise: what it alone was to read is not there.
+/// The call did not complete: removes the parts that only this call was to
+/// prefill.
 void forget_parts(engine_cache& memory, std::uint64_t call);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/engine_pace.hpp
+++ b/include/pepperturn/scheduling/engine_pace.hpp
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// How fast an engine reads and generates, learnt from the calls it has ended.
+/// Estimates how fast an engine prefills and generates, and its error rate,
+/// from the calls that it has ended.
 ///
-/// Load pattern: engines of one service whose speeds differ for good, some of
-/// which turn several times slower for less than a second or for some
-/// seconds. A lasting speed says where most work belongs; one of the last
-/// moments takes traffic away from an engine that is slow right now and gives
-/// it back soon after, without forgetting what the engine usually does.
+/// Load pattern: engines of one service whose speeds differ permanently, some
+/// of which turn several times slower for less than a second or for some
+/// seconds. The long-term speed determines where most work goes; the recent
+/// speed takes traffic away from an engine that is slow at the moment and
+/// returns it soon after, without losing the long-term estimate.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -15,11 +16,11 @@
 
 namespace pepperturn {
 
-/// A running quantile of positive values, in steps of a share of the value,
-/// so that single outliers move it by no more than one step.
+/// A running quantile of positive values. It moves by a limited share of its
+/// value, so that a single outlier has little effect.
 struct running_quantile
 {
-    /// 0: no value yet.
+    /// 0: no samples yet.
     double m_value = 0;
     std::uint32_t m_samples = 0;
 
@@ -27,20 +28,21 @@
                            const running_quantile&) = default;
 };
 
-/// Takes a value in; zero, negative and endless ones are ignored.
+/// Adds a sample; zero, negative and non-finite values are ignored.
 /// \param quantile share of the values that lie below
 [[nodiscard]] running_quantile add_value(running_quantile tracked, double value,
                                          double quantile);
 
-/// What an engine takes for one token, lastingly and lately.
+/// An engine's time per token: a long-term and a recent estimate.
 struct token_latency
 {
-    /// Logarithm of the milliseconds for a token.
+    /// Logarithm of the milliseconds per token.
     double m_long_term = 0;
-    /// Logarithm of how much slower it was lately than that.
+    /// Logarithm of the recent slowdown relative to the long-term estimate.
     double m_recent = 0;
     std::uint32_t m_samples = 0;
-    /// Ended calls in a row that were clearly slower than the lasting pace.
+    /// Consecutive ended calls that were clearly slower than the long-term
+    /// estimate.
     std::uint32_t m_consecutive_slow = 0;
     instant m_last{};
 
@@ -48,20 +50,20 @@
                            const token_latency&) = default;
 };
 
-/// Takes in what a token took in one ended call; absurd values are ignored.
+/// Adds the time per token of one ended call; implausible values are ignored.
 [[nodiscard]] token_latency add_token_time(token_latency pace, double token_ms,
                                            instant now);
 
-/// Milliseconds for a token now.
-/// \param usual_ms of the service: what an engine takes of which nothing is
-/// known, or nothing new for long
+/// Current estimate of the milliseconds per token.
+/// \param usual_ms of the service: used for an engine without samples, or
+/// without any for a long time
 [[nodiscard]] double current_token_ms(const token_latency& pace,
                                       double usual_ms, instant now);
 
-/// How often an engine's calls went wrong lately.
+/// Recent error rate of an engine.
 struct engine_error_rate
 {
-    /// Share, 0 to 1.
+    /// Share of failed calls, 0 to 1.
     double m_rate = 0;
     instant m_last{};
 
@@ -72,8 +74,8 @@
 [[nodiscard]] engine_error_rate add_outcome(engine_error_rate trouble,
                                             bool failed, instant now);
 
-/// Share of the calls that is expected to go wrong; fades while the engine is
-/// not used, so that it is tried again.
+/// Expected share of failed calls; decays while the engine is not used, so
+/// that it is tried again.
 [[nodiscard]] double current_error_rate(const engine_error_rate& trouble,
                                         instant now);
 
--- a/include/pepperturn/scheduling/engine_record.hpp
+++ b/include/pepperturn/scheduling/engine_record.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What the VM that hands out places knows of one engine: the calls under
-/// way there, its pace, its trouble and its memory.
+/// What the placement VM knows of one engine: the calls in progress there, its
+/// speed, its error rate and its cache.
 ///
-/// Load pattern: an engine that slows down or hangs. Its calls that have not
-/// ended tell it before any report does: one that is overdue makes the engine
-/// count as slower at once.
+/// Load pattern: an engine that slows down or hangs. Its unfinished calls show
+/// this before any report does: an overdue call makes the engine count as
+/// slower at once.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -20,58 +20,59 @@
 
 namespace pepperturn {
 
-/// What is usual for the engines and the calls of a service.
+/// Typical values for the engines and calls of a service.
 struct service_profile
 {
-    /// Milliseconds for a token generated alone, in the median.
+    /// Milliseconds per token generated without other calls in the batch,
+    /// median.
     running_quantile m_decode_token_ms;
-    /// Milliseconds for a prompt token read, in the median.
+    /// Milliseconds per prefilled prompt token, median.
     running_quantile m_prefill_token_ms;
-    /// Time to the first byte of a prompt in memory, in the median.
+    /// Time to first byte of a cached prompt, in milliseconds, median.
     running_quantile m_first_byte_ms;
-    /// Tokens generated, in the median, and in one of ten calls.
+    /// Generated tokens: median, and the 90th percentile.
     running_quantile m_output_tokens;
     running_quantile m_long_output_tokens;
-    /// Milliseconds that a call holds a slot, in the median.
+    /// Milliseconds for which a call occupies a slot, median.
     running_quantile m_slot_ms;
 
     friend bool operator==(const service_profile&,
                            const service_profile&) = default;
 };
 
-/// Usual values; until something is learnt, those of a middling engine.
+/// Typical values; defaults for a medium engine until there are samples.
 [[nodiscard]] double typical_decode_token_ms(const service_profile& norm);
 [[nodiscard]] double typical_prefill_token_ms(const service_profile& norm);
 [[nodiscard]] double typical_slot_ms(const service_profile& norm);
-/// \param most bound that the caller gives; 0: none
 /// Tokens that a call is expected to generate.
+/// \param most limit set by the caller; 0: none
 [[nodiscard]] double expected_output_tokens(const service_profile& norm,
                                             const placement_request& question);
 [[nodiscard]] double typical_output_tokens(const service_profile& norm,
                                            std::uint32_t most);
 
-/// A call under way at an engine.
+/// A call in progress at an engine.
 struct running_call
 {
     std::uint64_t m_call = 0;
     instant m_started{};
     std::vector<prompt_part> m_parts;
     std::uint32_t m_uncached_tokens = 0;
-    /// Calls under way when it came.
+    /// Other calls in progress when it was placed.
     std::uint32_t m_concurrent = 0;
-    /// Wait and reading as expected, in milliseconds.
+    /// Predicted wait and prefill time, in milliseconds.
     double m_wait_ms = 0;
     double m_prefill_ms = 0;
-    /// To its end, as expected, and if it is a long one.
+    /// Predicted time to its end, and that of a long call, in milliseconds.
     double m_expected_ms = 0;
     double m_expected_long_ms = 0;
-    /// The engine's total when it came.
+    /// The engine's total prefill time when the call was placed.
     double m_total_prefill_ms = 0;
 
     friend bool operator==(const running_call&, const running_call&) = default;
 };
 
-/// Calls to a cold engine in the second that began at \ref m_since.
+/// Calls sent to a cold engine in the second that began at \ref m_began.
 struct cold_window
 {
     instant m_began{};
@@ -88,11 +89,11 @@
     token_latency m_prefill;
     engine_error_rate m_error_rate;
     engine_cache m_cache;
-    /// When the prompts placed so far will have been read.
+    /// When the prompts placed so far are expected to have been prefilled.
     instant m_prefill_until{};
-    /// Reading expected of all calls so far, in milliseconds.
+    /// Predicted prefill time of all calls so far, in milliseconds.
     double m_total_prefill_ms = 0;
-    /// Start of the latest call that has ended whole.
+    /// Start of the latest-started call that has completed.
     instant m_last_completed_start{};
 
     cold_window m_cold_window;
@@ -101,39 +102,40 @@
                            const engine_record&) = default;
 };
 
-/// How many times slower than expected the calls under way show it to be;
-/// 1: none is overdue.
+/// How many times slower than predicted the calls in progress show the engine
+/// to be; 1: none is overdue.
 [[nodiscard]] double overdue_factor(const engine_record& engine, instant now);
 
-/// The engine as a call finds it.
+/// Estimates the engine for a call placed now.
 [[nodiscard]] engine_estimate estimate_engine(const engine_record& engine,
                                               const service_profile& norm,
                                               const placement_request& question,
                                               instant now);
 
-/// It is cold, and has had what it bears in this second.
+/// The engine is cold and has received as many calls as it can serve in this
+/// second.
 [[nodiscard]] bool is_cold_limited(const engine_record& engine, instant now);
 
-/// True if calls rather wait for another engine than go there: it seems to
+/// True if calls should rather wait for another engine: this one appears to
 /// hang, or fails most calls.
 [[nodiscard]] bool is_deprioritised(const engine_estimate& outlook,
                                     const service_profile& norm);
 
-/// Counts the call as under way there.
+/// Records the call as in progress there.
 void start_call(engine_record& engine, const service_profile& norm,
                 const placement_request& question,
                 const engine_estimate& outlook, instant now);
 
-/// Takes the call out; empty: it isn't there.
+/// Removes the call; empty: it is not in progress there.
 [[nodiscard]] std::optional<running_call>
 remove_running_call(engine_record& engine, std::uint64_t call);
 
-/// Learns from the end of a call that was taken out.
+/// Updates the estimates from the end of a removed call.
 void learn_from_end(engine_record& engine, service_profile& norm,
                     const running_call& call, const placement_report& report,
                     instant now);
 
-/// Takes the calls out whose end was never told.
+/// Removes the calls whose end was never reported.
 [[nodiscard]] std::vector<running_call> remove_lost_calls(engine_record& engine,
                                                           instant now);
 
--- a/include/pepperturn/scheduling/place_line.hpp
+++ b/include/pepperturn/scheduling/place_line.hpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Who is next among the calls that wait for a place at an engine.
+/// The queue of calls that wait for an engine slot, fair between workspaces.
 ///
 /// Load pattern: a burst, often of one workspace, with all engines full. In a
-/// common line its calls stand before everybody else's. Here each workspace
-/// has a line of its own, and these take turns by the work that they ask for
-/// (deficit round robin): whoever asks for its usual share hardly waits, and
-/// what others leave goes to the burst.
+/// common queue its calls would go before everybody else's. Here each
+/// workspace has a queue of its own, and these are served by deficit round
+/// robin on the work that they request: a workspace that requests its usual
+/// share hardly waits, and the capacity that others leave goes to the burst.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -18,7 +18,7 @@
 
 namespace pepperturn {
 
-/// A call in line.
+/// A queued call.
 struct queued_call
 {
     std::uint64_t m_call = 0;
@@ -27,39 +27,40 @@
     /// 0 is the most urgent.
     std::uint32_t m_priority = 0;
     instant m_enqueued{};
-    /// When its patience ends.
+    /// When its queue timeout expires.
     instant m_deadline{};
-    /// Time that it is expected to take an engine's place.
+    /// Time for which it is expected to occupy a slot, in milliseconds.
     double m_work_ms = 0;
 
     friend bool operator==(const queued_call&, const queued_call&) = default;
 };
 
-/// True if its program has had calls before, be it in time or late: refused,
-/// all of it would be lost.
+/// True if its program has had calls before, whether in time or late: refusing
+/// it would waste all of them.
 [[nodiscard]] bool has_begun_program(const queued_call& entry);
 
-/// True if \p left goes before \p right of the same workspace: by rank, then
-/// by priority, then in order of arrival, unless the other has waited for
+/// True if \p left is placed before \p right of the same workspace: by rank,
+/// then by priority, then in order of arrival, unless the other has waited for
 /// long.
 [[nodiscard]] bool precedes(const queued_call& left, const queued_call& right);
 
-/// The line of one workspace.
+/// The queue of one workspace.
 struct workspace_queue
 {
     std::uint64_t m_workspace = 0;
-    /// Work that it may still have in its turn.
+    /// Deficit counter: work that it may still place in its round, in
+    /// milliseconds.
     double m_deficit_ms = 0;
-    /// How fast its calls go that open programs, while it has a line.
+    /// How fast first calls of programs are placed while it has a queue.
     admission_rate m_first_call_rate;
-    /// In the order in which they go.
+    /// In the order in which they are placed.
     std::vector<queued_call> m_calls;
 
     friend bool operator==(const workspace_queue&,
                            const workspace_queue&) = default;
 };
 
-/// All lines; the first of them has its turn.
+/// The queues of all workspaces; the first one is being served.
 struct placement_queue
 {
     std::vector<workspace_queue> m_workspaces;
@@ -71,29 +72,31 @@
 
 void enqueue_call(placement_queue& line, const queued_call& entry);
 
-/// False: the call does not wait.
+/// Returns false if the call is not queued.
 bool remove_queued(placement_queue& line, std::uint64_t call);
 
-/// The call that goes next, until the line changes; null: nobody waits.
+/// The call to be placed next, valid until the queue changes; null: the queue
+/// is empty.
 [[nodiscard]] const queued_call* next_queued(placement_queue& line);
 
-/// Takes that call out; its work counts against its workspace.
+/// Removes that call and charges its work to its workspace.
 void dequeue_next(placement_queue& line, instant now);
 
-/// Takes the calls out whose patience is over.
+/// Removes the calls whose queue timeout has expired.
 [[nodiscard]] std::vector<queued_call> remove_expired(placement_queue& line,
                                                       instant now);
 
-/// Work that goes before the entry if it joins the line now.
-/// \param begun_only counts only calls of programs under way
+/// Work that would be placed before the entry if it were queued now, in
+/// milliseconds.
+/// \param begun_only counts only calls of programs that have begun
 [[nodiscard]] double work_ahead(const placement_queue& line,
                                 const queued_call& entry, bool begun_only);
 
-/// How long the entry waits if it joins the line now, in milliseconds. A call
-/// of a program under way waits for its like only; one that opens a program
-/// also for those under way that are yet to come, which shows in how fast
-/// such calls of its workspace go now.
-/// \param places that the engines have for calls
+/// How long the entry would wait if it were queued now, in milliseconds. A
+/// call of a program that has begun waits only for calls of its kind; the
+/// first call of a program also waits for calls of such programs that have yet
+/// to arrive, which the current rate of first calls of its workspace reflects.
+/// \param places slots of the engines
 [[nodiscard]] double expected_queue_wait(const placement_queue& line,
                                          const queued_call& entry,
                                          double places, instant now);
--- a/include/pepperturn/scheduling/place_service.hpp
+++ b/include/pepperturn/scheduling/place_service.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Places at the engines of one service.
+/// Placements at the engines of one service.
 ///
-/// Load pattern: a service whose engines are asked for from all VMs. All
-/// questions come here, so that each sees what the others were given a moment
-/// ago; with all engines full the calls wait here, where their order can
-/// still be changed, rather than in the engines' queues.
+/// Load pattern: a service whose engines are used from all VMs. All placement
+/// requests come here, so that each decision takes into account the placements
+/// made a moment ago; with all engines full the calls are queued here, where
+/// their order can still be changed, rather than in the engines' queues.
 #pragma once
 
 #include "pepperturn/scheduling/engine_places.hpp"
@@ -19,22 +19,23 @@
 
 namespace pepperturn {
 
-/// What has happened so far.
+/// Counts since start.
 struct placement_counters
 {
     std::uint64_t m_placed = 0;
-    /// Of the prompts placed, and what of them was thought to be in memory.
+    /// Tokens of the placed prompts, and how many of them were estimated to be
+    /// cached.
     std::uint64_t m_prompt_tokens = 0;
     std::uint64_t m_cached_tokens = 0;
     std::uint64_t m_waited = 0;
     std::uint64_t m_no_room = 0;
-    /// Placed beyond an engine's slots, as their program had begun.
+    /// Placed beyond an engine's slots, because their program had begun.
     std::uint64_t m_forced = 0;
-    /// Ended at another runner than the one that was named.
+    /// Ended at another runner than the assigned one.
     std::uint64_t m_moved = 0;
-    /// Reports of calls that have no place: late ones, or told twice.
+    /// Reports of calls without a placement: late or duplicate ones.
     std::uint64_t m_unknown_reports = 0;
-    /// Places whose end was never told.
+    /// Placements whose end was never reported.
     std::uint64_t m_lost = 0;
     std::uint64_t m_broken = 0;
     std::uint64_t m_not_run = 0;
@@ -53,9 +54,10 @@
     [[nodiscard]] std::optional<placement_reply>
     request_placement(const placement_request& question, instant now);
     void report(const placement_report& report, instant now);
-    /// Appends the calls that were decided since.
+    /// Appends the decisions on queued calls made since the last call.
     void take_decisions(instant now, std::vector<placement_decision>& out);
-    /// Answers all that wait: this VM hands out no places here any more.
+    /// Refuses all queued calls: this VM assigns no placements for the service
+    /// any more.
     void close(std::vector<placement_decision>& out);
 
     [[nodiscard]] const placement_counters& counters() const
@@ -77,22 +79,22 @@
     }
 
 private:
-    /// Where a call may go.
+    /// Which capacity a placement may use.
     enum class slot_policy : std::uint8_t
     {
-        /// Only to engines with room.
+        /// Only engines with a free slot.
         free_slots,
-        /// Also into the engines' own queues.
+        /// Also the engines' own queues.
         engine_queues
     };
 
     [[nodiscard]] bool has_engines() const;
     [[nodiscard]] std::optional<placement_reply>
     place(const placement_request& question, slot_policy reach, instant now);
-    /// Fills the choices with the engines that the call may go to.
+    /// Fills the candidates with the engines that the call may use.
     void evaluate_engines(const placement_request& question, slot_policy reach,
                           instant now);
-    /// Among the choices.
+    /// True if any candidate has a free slot.
     [[nodiscard]] bool has_free_slot() const;
     [[nodiscard]] std::optional<std::size_t>
     choose_engine(const placement_request& question) const;
@@ -104,7 +106,7 @@
     expected_work_ms(const placement_request& question) const;
     void advance_queue(instant now);
     void expire_queued(instant now);
-    /// False: the call doesn't wait.
+    /// Returns false if the call is not queued.
     bool leave_queue(std::uint64_t call);
     void abandon(std::uint64_t call);
     void decide(std::uint64_t call, const placement_reply& answer);
@@ -112,7 +114,7 @@
     void end_on_other_engine(running_call call, const placement_report& report,
                              engine_record& planned, instant now);
 
-    /// An engine in the decision under way.
+    /// An engine considered in the current decision.
     struct candidate
     {
         std::size_t m_engine = 0;
@@ -123,10 +125,10 @@
     };
 
     std::vector<engine_record> m_engines;
-    /// Where each runner's row is.
+    /// Index into m_engines by runner.
     std::unordered_map<std::uint64_t, std::size_t> m_index;
     service_profile m_profile;
-    /// Runner of each call under way.
+    /// Runner of each placed call.
     std::unordered_map<std::uint64_t, std::uint64_t> m_placements;
     placement_queue m_queue;
     std::unordered_map<std::uint64_t, placement_request> m_queued_requests;
--- a/include/pepperturn/scheduling/placement.hpp
+++ b/include/pepperturn/scheduling/placement.hpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Which runner a call goes to.
+/// Selects the runner for a call.
 ///
-/// Load patterns: few-slot services, where one call outweighs the bytes
-/// between zones; engines, where reading a prompt anew costs more than some
-/// neighbours in the batch; slow and failing runners, which stay in use for
-/// as much as they can do.
+/// Load patterns: services with few slots, where one call outweighs the cost
+/// of traffic between zones; engines, where prefilling a prompt again costs
+/// more than a few other calls in the batch; slow and failing runners, which
+/// stay in use for as much as they can serve.
 #pragma once
 
 #include <cstddef>
@@ -15,37 +15,38 @@
 
 namespace pepperturn {
 
-/// One runner that a call may go to, as the deciding VM sees it.
+/// A runner that a call may use, as seen by the selecting VM.
 struct runner_candidate
 {
-    /// Calls under way there, in shares of its slots.
+    /// Calls in progress there, as a share of its slots.
     double m_load = 0;
     bool m_other_zone = false;
-    /// Of another region, too.
+    /// The runner is in another region as well.
     bool m_other_region = false;
-    /// A kept connection is idle.
+    /// An idle kept-alive connection exists.
     bool m_connected = false;
-    /// The beginning of the prompt is in its memory.
+    /// The beginning of the prompt is in its cache.
     bool m_has_cached_prompt = false;
-    /// Time to the first byte as a multiple of what is usual.
+    /// Time to first byte as a multiple of the usual one.
     double m_slowness = 1;
-    /// Share of the calls that went wrong lately.
+    /// Share of the recent calls that failed.
     double m_error_rate = 0;
-    /// Prompts that begin alike meet here: it has read that part, most likely.
+    /// Prompts with the same beginning are sent here: the shared part is most
+    /// likely cached.
     bool m_has_shared_part = false;
-    /// It has just started, or its memory is empty: it bears few calls.
+    /// It has just started, or its cache is empty: it can serve few calls.
     bool m_cold = false;
-    /// It refused or failed just now: used only if all others did too.
+    /// It refused or failed a moment ago: used only if all others did too.
     bool m_deprioritised = false;
-    /// Decides among equals.
+    /// Random value that decides between equal costs.
     std::uint64_t m_random_tiebreak = 0;
 };
 
-/// What speaks against a candidate, in shares of its slots; lower is better.
+/// Cost of a candidate, as a share of its slots; lower is better.
 [[nodiscard]] double runner_cost(const runner_candidate& row);
 
-/// Index of the candidate that costs least, by draw among equals; empty:
-/// there is none.
+/// Index of the candidate with the lowest cost, by random value among equals;
+/// empty: there are no candidates.
 [[nodiscard]] std::optional<std::size_t>
 select_runner(const std::vector<runner_candidate>& candidates);
 
--- a/include/pepperturn/scheduling/read_pressure.hpp
+++ b/include/pepperturn/scheduling/read_pressure.hpp
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What a VM does when callers and runners do not read.
+/// Limits the memory that a VM uses for callers and runners that do not read.
 ///
-/// Load pattern: callers that take an answer a byte at a time or not at all,
-/// and runners that leave long bodies unread. Whatever waits for them is this
-/// VM's memory, and a VM of some ten megabytes that goes over its limit is
-/// killed with every call that it has under way. So the bytes held are
-/// counted, and when they near what the VM bears, the least loss comes first:
-/// new connections wait for a moment, large requests are refused before they
-/// have run, and at last those that read slowest are cut. A caller that reads
-/// at a usual pace is never cut.
+/// Load pattern: callers that read a response one byte at a time or not at
+/// all, and runners that leave long request bodies unread. The data that waits
+/// for them occupies this VM's memory, and a VM with some tens of megabytes
+/// that exceeds its limit is killed with every call in progress. So buffered
+/// bytes are counted, and as they approach the limit, the least harmful
+/// measures come first: new connections are delayed for a moment, large
+/// requests are refused before they have run, and finally the slowest readers
+/// are disconnected. A caller that reads at a usual rate is never
+/// disconnected.
 ///
-/// The bound is kept by reserving: what may come is counted before it is read,
-/// and what finds no room is not read. Long answers stop first, then new work,
-/// and the last of the room is for delivering what is ready, which is what
-/// makes room again.
+/// The limit is enforced by reservation: incoming data is counted before it is
+/// read, and is not read if it does not fit. Long responses are paused first,
+/// then new work, and the last of the memory is for delivering what is ready,
+/// since delivery frees memory.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -25,80 +26,83 @@
 
 namespace pepperturn {
 
-/// Bytes that a VM may hold for its callers and runners.
-/// \param memory_mb of the VM, for this process; 0: not told
+/// Bytes that a VM may buffer for its callers and runners.
+/// \param memory_mb memory of the VM for this process, in megabytes; 0:
+/// unknown
 [[nodiscard]] std::uint64_t buffer_limit(std::uint32_t memory_mb);
 
-/// How near the bytes held are to the bound.
+/// How close the buffered bytes are to the limit.
 enum class pressure_level : std::uint8_t
 {
     calm,
-    /// New connections are read from a moment later.
+    /// New connections are read with a short delay.
     pausing,
-    /// Large requests are refused too.
+    /// Large requests are refused as well.
     refusing,
-    /// The slowest readers are cut too.
+    /// The slowest readers are disconnected as well.
     cutting
 };
 
 [[nodiscard]] const char* to_string(pressure_level level);
 
-/// The level at \p held bytes; one that was reached is left only well below
-/// where it begins, so that a VM at the edge does not change to and fro.
+/// The level at \p held buffered bytes. A level is left only well below where
+/// it begins (hysteresis), so that the VM does not oscillate.
 [[nodiscard]] pressure_level next_level(pressure_level now, std::uint64_t held,
                                         std::uint64_t bound);
 
-/// What room is asked for.
+/// What memory is reserved for.
 enum class memory_use : std::uint8_t
 {
-    /// Requests and answers that are still to come.
+    /// Requests and responses that are still to arrive.
     work,
-    /// What is ready and goes to its caller.
+    /// Data that is ready to be sent to its caller.
     delivery
 };
 
-/// The most that may be held and reserved when room is given, in bytes.
+/// The most bytes that may be buffered and reserved after a grant.
 [[nodiscard]] std::uint64_t reservation_limit(memory_use use,
                                               std::uint64_t bound);
 
-/// A long answer may be gathered on. What it leaves free is for requests with
-/// usual answers, which are taken beside any crowd that does not read.
-/// \param committed bytes that are held or reserved by all
+/// Whether a long response may be buffered further. What it leaves free is for
+/// requests with usual responses, which are served even beside many callers
+/// that do not read.
+/// \param committed bytes that are buffered or reserved by all
 /// \param more bytes of its next piece
-/// \param first it is the oldest of those that were held up
+/// \param first it is the oldest of the paused responses
 [[nodiscard]] bool may_buffer_more(pressure_level level,
                                    std::uint64_t committed, std::uint64_t bound,
                                    std::uint64_t more, bool first);
 
-/// A body may be read.
-/// \param body bytes that are still to come, as far as they are known
+/// Whether a request body may be read.
+/// \param body bytes that are still to arrive, as far as known
 [[nodiscard]] bool may_read_body(pressure_level level, std::uint64_t held,
                                  std::uint64_t bound, std::uint64_t body);
 
-/// An answer that waits for its caller.
+/// A response that waits for its caller to read.
 struct unread_response
 {
-    /// Held for this caller, in bytes.
+    /// Bytes buffered for this caller.
     std::uint64_t m_buffered = 0;
-    /// Taken since the wait began, in bytes.
+    /// Bytes read by the caller since the wait began.
     std::uint64_t m_consumed = 0;
-    /// Since the caller first left something unread.
+    /// Since the caller first left data unread.
     milliseconds m_waited{0};
-    /// Since it last took anything.
+    /// Since the caller last read anything.
     milliseconds m_idle{0};
 
     friend bool operator==(const unread_response&,
                            const unread_response&) = default;
 };
 
-/// Bytes a second that a caller takes; none once it has stopped.
+/// Rate at which a caller reads, in bytes per second; 0 once it has stopped.
 [[nodiscard]] double read_rate(const unread_response& answer);
 
-/// Slower than any usual caller, for long enough to tell.
+/// True if the caller has been slower than any usual caller for long enough to
+/// be sure.
 [[nodiscard]] bool is_slow_reader(const unread_response& answer);
 
-/// Indices of the answers to cut, the slowest first; as few as make the VM
-/// calm again.
+/// Indices of the responses to abort, the slowest first; as few as bring the
+/// VM back to the normal level.
 [[nodiscard]] std::vector<std::size_t>
 choose_aborts(const std::vector<unread_response>& answers, std::uint64_t held,
               std::uint64_t bound);
--- a/include/pepperturn/scheduling/second_try.hpp
+++ b/include/pepperturn/scheduling/second_try.hpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// When a call that may be repeated is tried at a second runner.
+/// Decides when a repeatable call is retried at a second runner.
 ///
 /// Load pattern: short calls to plain services of which a few in a thousand
-/// hang, at a runner whose answers get lost or that stands still, while all
-/// others are done within milliseconds. Waiting for a multiple of the route's
-/// objective costs such a call many times its work. So the wait follows what
-/// answers on the route really take. The first try is cut as the second is
-/// sent, and second tries have a budget: when all runners are slow, more
-/// tries would only feed the overload.
+/// hang, at a runner whose responses are lost or that is stalled, while all
+/// others complete within milliseconds. Waiting for a multiple of the route's
+/// latency objective costs such a call many times its work, so the timeout
+/// follows the measured response times of the route. The first attempt is
+/// aborted when the second is sent, and retries have a budget: when all
+/// runners are slow, more attempts would only add to the overload.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -18,11 +18,11 @@
 
 namespace pepperturn {
 
-/// How long first bytes have taken lately, in classes; older ones fade.
+/// Histogram of recent times to first byte; older samples decay.
 struct response_times
 {
-    /// Each class reaches a fifth further than the one before; the last one
-    /// begins above a minute.
+    /// The upper bound of each bucket is a fifth above the one before; the
+    /// last bucket begins above a minute.
     static constexpr std::size_t buckets = 64;
 
     std::array<double, buckets> m_weights{};
@@ -35,17 +35,17 @@
 [[nodiscard]] response_times add_response_time(response_times times,
                                                milliseconds took);
 
-/// The time within which \p share of the answers came, to a fifth; zero:
-/// nothing is known.
+/// The time within which \p share of the responses arrived, to a fifth; zero:
+/// no samples.
 [[nodiscard]] milliseconds response_time_quantile(const response_times& times,
                                                   double share);
 
-/// The wait for a first byte after which a second runner is tried; empty: too
-/// little is known of the route.
+/// The time to wait for a first byte before a second runner is tried; empty:
+/// too few samples of the route.
 [[nodiscard]] std::optional<milliseconds>
 retry_timeout(const response_times& times);
 
-/// Second tries that calls have earned.
+/// Retries that calls have earned.
 struct retry_budget
 {
     double m_retries = 0;
@@ -53,11 +53,11 @@
     friend bool operator==(const retry_budget&, const retry_budget&) = default;
 };
 
-/// A call has been sent for the first time.
+/// Credits the budget for a call's first attempt.
 [[nodiscard]] retry_budget earn_retry(retry_budget budget);
 [[nodiscard]] bool retry_allowed(const retry_budget& budget);
 [[nodiscard]] retry_budget spend_retry(retry_budget budget);
-/// A try that was set aside was not needed.
+/// Returns a retry that was reserved and not used.
 [[nodiscard]] retry_budget refund_retry(retry_budget budget);
 
 } // namespace pepperturn
--- a/include/pepperturn/scheduling/start_hold.hpp
+++ b/include/pepperturn/scheduling/start_hold.hpp
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// How long a request waits at a VM that has just started and cannot serve yet.
+/// How long a request waits at a VM that has just started and cannot serve
+/// yet.
 ///
-/// Load pattern: the whole fleet starts at once, callers come back within
-/// moments, and every VM they could turn to is as far as this one. A refusal
-/// would cost them one of their few tries while service is some tenths of a
-/// second away; so a request is held for as long as its caller still has use
-/// of an answer, and refused at once where waiting is in vain.
+/// Load pattern: the whole fleet starts at once, callers return within
+/// moments, and every other VM is in the same state. A refusal would cost them
+/// one of their few attempts while service is some tenths of a second away; so
+/// a request waits for as long as its caller can still use a response, and is
+/// refused at once where waiting is futile.
 #pragma once
 
 #include "pepperturn/base/time.hpp"
@@ -17,16 +18,16 @@
 
 struct startup_wait_conditions
 {
-    /// Since the start of this VM's process, when the request came.
+    /// Time from the start of this VM's process to the arrival of the request.
     milliseconds m_uptime{0};
-    /// How long the caller waits; empty: it did not say.
+    /// The caller's timeout; empty: not stated.
     std::optional<milliseconds> m_caller_timeout;
 
     friend bool operator==(const startup_wait_conditions&,
                            const startup_wait_conditions&) = default;
 };
 
-/// Longest wait from the request's arrival on; zero: it is not held.
+/// Longest wait from the request's arrival; zero: it is refused at once.
 [[nodiscard]] milliseconds startup_wait(const startup_wait_conditions& facts);
 
 } // namespace pepperturn
--- a/src/scheduling/admission.cpp
+++ b/src/scheduling/admission.cpp
@@ -8,39 +8,41 @@
 
 namespace {
 
-/// Weight of a new call in the smoothed times: of about ten calls.
+/// Weight of a new sample in the smoothed times: averages about ten calls.
 constexpr double pace_weight = 0.1;
-/// The floor follows lower waits soon. Higher ones raise it by this share a
-/// call, however high they are: a burst of some hundred calls does not become
-/// the usual, and longer prompts do within some thousand.
+/// The baseline follows lower values quickly. Higher ones raise it by this
+/// share per call, however high they are: a burst of some hundred calls does
+/// not become the norm, while longer prompts do within some thousand calls.
 constexpr double floor_down_weight = 0.05;
 constexpr double floor_up_share = 0.001;
-/// Waits of this many times the floor mean a queue: prompts of all lengths
-/// and a full batch explain two or three times.
+/// A time to first byte of this many times the baseline indicates a queue:
+/// prompts of all lengths and a full batch explain two or three times.
 constexpr double queueing_factor = 6.0;
-/// A limit is set only at waits of this many times a good one: short bursts
-/// pass within what programs have to spare, and nobody is refused for them.
+/// A limit is set only at this many times the longest unqueued wait: programs
+/// can absorb short bursts, and no call is refused for them.
 constexpr double onset_factor = 2.0;
-/// Below this a wait says nothing: hops and wake-ups take as long.
+/// Shorter waits indicate nothing: network hops and wake-ups take as long.
 constexpr double least_queueing_ms = 60.0;
-/// A VM always has this many calls under way, to learn that it is over.
+/// A VM may always have this many calls in progress, to notice when the
+/// overload has ended.
 constexpr double least_limit = 2.0;
-/// A limit of this many times what is under way binds nobody.
+/// A limit of this many times the calls in progress has no effect and is
+/// removed.
 constexpr double unbound_factor = 2.0;
-/// Share of its program's time that a first call may wait: a third of the
-/// time is to spare, and the turns after it wait a little as well.
+/// A first call may wait for one in so many of its program's remaining time: a
+/// third of the time is slack, and the later turns wait a little as well.
 constexpr int hopeful_share = 5;
-/// Callers leave a stream after two seconds of silence, and the first event
-/// takes a while.
+/// Callers abandon a stream after two seconds without data, and the first
+/// event takes a while.
 constexpr milliseconds longest_wait_under_way{1500};
 constexpr milliseconds longest_wait_first{700};
-/// Weight of one admission in the rate of a line: of about ten.
+/// Weight of one admission in the admission rate: averages about ten.
 constexpr double drain_weight = 0.1;
-/// A line that let nobody in for this long was empty.
+/// A queue without an admission for this long was empty.
 constexpr milliseconds drain_memory{1000};
-/// Callers heed a time of up to a third of what they have left, and send a
-/// call twice: sooner ones are refused again, later ones miss their program's
-/// aim.
+/// Callers accept a retry delay of up to a third of their remaining time, and
+/// send a call twice: with shorter delays they are refused again, with longer
+/// ones their program misses its deadline.
 constexpr milliseconds soonest_come_back{250};
 constexpr milliseconds latest_come_back{800};
 constexpr milliseconds come_back_spread{250};
@@ -85,10 +87,11 @@
     const bool queueing = pace.m_first_byte_ms > good_wait;
     if (!bound && pace.m_first_byte_ms <= onset_factor * good_wait)
         return limit;
-    // Over one round of all calls: what is sent now shows that much later.
+    // Averaged over one round of all calls: the effect of a call sent now is
+    // seen that much later.
     const double before = bound ? limit.m_limit : calls;
     const double next = smoothed(before, wanted, 1.0 / calls);
-    // With fewer calls than it allows, a short wait is no reason to fall.
+    // Below the limit, a short wait is no reason to lower it.
     limit.m_limit =
         queueing ? std::max(least_limit, next) : std::max(limit.m_limit, next);
     if (!queueing && limit.m_limit > unbound_factor * calls)
@@ -133,7 +136,7 @@
     const double interval = to_seconds(now - rate.m_last) * ms_per_s;
     const bool fresh =
         rate.m_last == instant{} || now - rate.m_last > drain_memory;
-    // After a pause the first one says nothing of the rate.
+    // The first interval after a pause says nothing about the rate.
     rate.m_interval_ms =
         fresh ? 0
         : rate.m_interval_ms == 0
--- a/src/scheduling/engine_cost.cpp
+++ b/src/scheduling/engine_cost.cpp
@@ -7,31 +7,33 @@
 
 namespace {
 
-/// How much longer a token takes with all other slots taken.
+/// Relative slowdown of a token with all other slots occupied.
 constexpr double full_batch_share = 0.3;
-/// Way to another zone and back, and its bytes.
+/// Round trip to another zone, and the cost of the traffic.
 constexpr double other_zone_ms = 1.5;
-/// The same for another region, beyond that: a tenth of the aim of a turn.
+/// In addition to that, for another region: a tenth of the time that a turn
+/// should take.
 constexpr double other_region_ms = 25;
-/// What a call that goes wrong loses before its next try.
+/// Time that a failed call loses before its next attempt.
 constexpr double failure_ms = 150;
-/// Trouble beyond counts alike: an engine that only fails is still an engine.
+/// Higher error rates are treated alike: an engine where all calls fail
+/// remains a candidate.
 constexpr double most_trouble = 0.9;
-/// Costs that differ by less count as equal.
+/// Costs that differ by less are treated as equal.
 constexpr double equal_ms = 1;
 constexpr double equal_share = 0.02;
-/// Those that run there stop while a prompt is read; so do those that come
-/// meanwhile, and what it displaces in memory is read again elsewhere.
+/// Calls in progress stall while a prompt is prefilled; so do those that
+/// arrive meanwhile, and what it evicts from the cache is prefilled again
+/// elsewhere.
 constexpr double read_weight = 2;
-/// A call in an engine's queue delays all that come behind it until the queue
-/// is empty.
+/// A call in an engine's queue delays all later ones until the queue is empty.
 constexpr double queue_weight = 2;
-/// Calls beyond the slots that keep an engine busy while the end of one and
-/// the next call are on their way.
+/// Calls beyond the slots that keep an engine busy between the end of one call
+/// and the arrival of the next.
 constexpr std::uint32_t spare_calls = 1;
-/// Calls for each slot beyond which an engine's queue is left alone. Up to
-/// there a short wait for the engine with the prompt is better than reading it
-/// elsewhere, which stops all others.
+/// Calls per slot beyond which an engine's queue is not used. Up to there a
+/// short wait for the engine that has the prompt cached is better than
+/// prefilling it elsewhere, which stalls all calls there.
 constexpr double most_calls_a_slot = 1.5;
 
 } // namespace
@@ -72,7 +74,7 @@
 {
     const double trouble = std::clamp(outlook.m_error_rate, 0.0, most_trouble);
     double cost = completion_ms(run) + run.m_interference_ms;
-    // Each failure costs its time, and the call is to be run again.
+    // Each failure costs its time, and the call has to be run again.
     cost += trouble / (1 - trouble) * (failure_ms + completion_ms(run));
     if (outlook.m_other_zone)
         cost += other_zone_ms;
--- a/src/scheduling/engine_memory.cpp
+++ b/src/scheduling/engine_memory.cpp
@@ -10,14 +10,14 @@
 
 const cached_part* find(const engine_cache& memory, std::uint64_t id)
 {
-    // What is asked for again was mostly used lately.
+    // Requested parts were mostly used recently.
     const auto row =
         std::find_if(memory.m_parts.rbegin(), memory.m_parts.rend(),
                      [id](const cached_part& held) { return held.m_id == id; });
     return row == memory.m_parts.rend() ? nullptr : &*row;
 }
 
-/// Moves a part to the recently used end.
+/// Moves a part to the most recently used end.
 void use(engine_cache& memory, const cached_part& part)
 {
     std::erase_if(memory.m_parts, [&part](const cached_part& held) {
@@ -48,7 +48,7 @@
 std::uint32_t cached_prefix_tokens(const engine_cache& memory,
                                    const std::vector<prompt_part>& parts)
 {
-    // Tokens as told may add up to more than fits.
+    // Reported token counts may add up to more than 32 bits hold.
     std::uint64_t tokens = 0;
     for (const auto& part : parts)
     {
@@ -66,8 +66,8 @@
 void expect_parts(engine_cache& memory, const std::vector<prompt_part>& parts,
                   std::uint64_t call, std::uint64_t capacity)
 {
-    // From the last to the first: of one prompt the end is dropped first, as
-    // it is of no use without its beginning.
+    // From the last part to the first: the end of a prompt is evicted first,
+    // as it is useless without the beginning.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
     {
         const auto* held = find(memory, part->m_id);
--- a/src/scheduling/engine_pace.cpp
+++ b/src/scheduling/engine_pace.cpp
@@ -8,33 +8,35 @@
 
 namespace {
 
-/// Milliseconds for a token outside of which a report is taken for wrong.
+/// Milliseconds per token outside of which a report is treated as wrong.
 constexpr double least_token_ms = 1e-4;
 constexpr double most_token_ms = 1000;
 /// Smallest and largest step of a quantile, as a share of its value.
 constexpr double least_step = 0.02;
 constexpr double most_step = 0.5;
-/// Share of a new value in the lasting pace once it has settled: the last
-/// dozen calls make up most of it.
+/// Weight of a sample in the settled long-term estimate: the last dozen calls
+/// make up most of it.
 constexpr double lasting_share = 0.08;
-/// Values further off, as logarithms, count as if they were only so far off:
-/// a call that hung does not make a good engine a slow one for long.
+/// Samples further away, as logarithms, are clamped to this distance: a call
+/// that hung does not mark a good engine as slow for long.
 constexpr double lasting_reach = 0.4;
-/// Share of a new value in the pace of the last moments.
+/// Weight of a sample in the recent estimate.
 constexpr double lately_share = 0.6;
-/// Logarithm of how much slower than lastingly counts as slow.
+/// Logarithm of the slowdown over the long-term estimate beyond which a call
+/// was slow.
 constexpr double slow_margin = 0.4;
-/// Seconds in which the pace of the last moments fades by a factor e. Each
-/// slow call in a row adds as much, up to the bound: an engine that stays
-/// slow is not tried again every moment.
+/// Seconds in which the recent estimate decays by a factor of e. Each
+/// consecutive slow call adds as much, up to the limit: an engine that stays
+/// slow is not tried again at every moment.
 constexpr double fade_s = 0.4;
 constexpr std::uint32_t most_fades = 6;
-/// Seconds after which the lasting pace of an unused engine begins to fade
-/// towards the usual one, and in which it does: what was true once is tried
-/// again now and then.
+/// Seconds after which the long-term estimate of an unused engine begins to
+/// decay towards the typical one, and the time constant: old estimates are
+/// tested again now and then.
 constexpr double idle_s = 3;
 constexpr double forget_s = 10;
-/// Share of a new end in the trouble, and seconds in which it fades.
+/// Weight of a sample in the error rate, and the seconds in which it decays by
+/// a factor of e.
 constexpr double trouble_share = 0.3;
 constexpr double trouble_fade_s = 2;
 
@@ -69,7 +71,7 @@
         value > tracked.m_value
             ? tracked.m_value * (1 + 2 * step * quantile)
             : tracked.m_value * (1 - 2 * step * (1 - quantile));
-    // Not past the value itself.
+    // Does not move past the sample itself.
     tracked.m_value = value > tracked.m_value ? std::min(target, value)
                                               : std::max(target, value);
     return tracked;
@@ -77,7 +79,7 @@
 
 token_latency add_token_time(token_latency pace, double token_ms, instant now)
 {
-    // Not a number compares false.
+    // Also rejects NaN, which compares false.
     if (!(token_ms >= least_token_ms && token_ms <= most_token_ms))
         return pace;
     const double seen = std::log(token_ms);
--- a/src/scheduling/engine_places.cpp
+++ b/src/scheduling/engine_places.cpp
@@ -12,9 +12,9 @@
 struct engine_placements::state
 {
     std::unordered_map<std::uint64_t, placement_service> m_services;
-    /// Answers to calls of services that were dropped.
+    /// Replies to queued calls of services that were removed.
     std::vector<placement_decision> m_closed;
-    /// The latest time that was told: none before it is taken.
+    /// The latest time passed in; earlier ones are replaced by it.
     instant m_now{};
 
     instant advance(instant now)
--- a/src/scheduling/engine_record.cpp
+++ b/src/scheduling/engine_record.cpp
@@ -7,47 +7,48 @@
 
 namespace {
 
-/// Until something is learnt: a middling engine and answer.
+/// Defaults until there are samples: a medium engine and response.
 constexpr double first_token_ms = 1;
 constexpr double first_read_token_ms = 0.004;
 constexpr double first_tokens = 100;
 constexpr double first_slot_ms = 200;
-/// Ended calls from which on the usual values are trusted.
+/// Ended calls after which the typical values are trusted.
 constexpr std::uint32_t enough_calls = 20;
-/// Share of the calls that generate less than a long one.
+/// Share of the calls that generate fewer tokens than a long one.
 constexpr double long_quantile = 0.9;
-/// A long call is overdue after so many times its expected time, and some
-/// milliseconds for the way of its report.
+/// A long call is overdue after this many times its predicted time, plus some
+/// milliseconds for the transfer of its report.
 constexpr double overdue_share = 1.25;
 constexpr double overdue_ms = 10;
-/// Beyond, the engine hangs; how long it has done so says no more.
+/// Upper bound: the engine hangs, and for how long makes no difference.
 constexpr double most_overdue = 20;
-/// An engine that has had no call for so long gets one, overdue calls or not:
-/// it may be well again, or the caller that should tell their end has died.
+/// An engine without a call for this long is sent one, overdue calls or not:
+/// it may have recovered, or the caller that should report their end may have
+/// died.
 constexpr milliseconds overdue_trial{2000};
-/// Prompts of fewer fresh tokens count as being in memory, and only longer
-/// ones tell how fast an engine reads.
+/// Prompts with fewer uncached tokens are treated as cached, and only longer
+/// ones measure how fast an engine prefills.
 constexpr std::uint32_t short_read_tokens = 500;
 constexpr std::uint32_t long_read_tokens = 4000;
 constexpr double short_wait_ms = 1;
-/// An engine that takes so many times the usual for a token seems to hang.
-/// Engines of a service may well differ by half of that.
+/// An engine that takes this many times the typical time per token appears to
+/// hang. Engines of one service may well differ by half of that.
 constexpr double shunned_slowness = 4;
 constexpr double shunned_trouble = 0.5;
-/// A call whose end is not told gives its place back after this time, and
-/// after so many times what it was expected to take: its caller has died.
+/// A call whose end is not reported releases its slot after this time, and
+/// after this many times its predicted duration: its caller has died.
 constexpr milliseconds lost_after{6000};
 constexpr double lost_share = 4;
-/// Reports beyond these are taken for wrong.
+/// Reports beyond these values are treated as wrong.
 constexpr std::uint32_t most_report_ms = 600'000;
 constexpr std::uint32_t most_report_tokens = 1'000'000;
-/// Longest prompt, where an engine doesn't tell what fits.
+/// Longest prompt, for engines that do not report their capacity.
 constexpr std::uint32_t most_prompt_tokens = 1'000'000;
-/// Least share of a run that is taken for generating, whatever was read
-/// beside it.
+/// Smallest share of a run that is attributed to generating, whatever was
+/// prefilled beside it.
 constexpr double least_generating = 0.3;
 
-/// What a cold engine bears is told for each second.
+/// The capacity of a cold engine is given in calls per second.
 constexpr milliseconds cold_span{1000};
 
 double milliseconds_since(instant then, instant now)
@@ -59,7 +60,7 @@
                      double token_ms, instant now)
 {
     const double usual = typical_prefill_token_ms(norm);
-    // An engine that generates slowly reads slowly.
+    // An engine that generates slowly is assumed to prefill slowly.
     const double slowness = token_ms / typical_decode_token_ms(norm);
     if (engine.m_prefill.m_samples == 0)
         return usual * slowness;
@@ -82,7 +83,7 @@
     return std::max(told, lasting * overdue);
 }
 
-/// A longer prompt than fits is a wrong figure.
+/// A prompt longer than the capacity is treated as a wrong figure.
 std::uint32_t believable_tokens(const engine_record& engine,
                                 std::uint32_t prompt_tokens)
 {
@@ -96,7 +97,8 @@
                    const running_call& call, const placement_report& report,
                    instant now)
 {
-    // The wait for a slot or for other prompts tells nothing of its own.
+    // After a wait for a slot or for other prefills the time to first byte
+    // does not measure the prefill.
     if (call.m_wait_ms > short_wait_ms)
         return;
     const double first_byte = report.m_first_byte_ms;
@@ -116,7 +118,7 @@
 {
     if (report.m_run_ms == 0 || report.m_output_tokens == 0)
         return;
-    // Prompts of others that were read meanwhile stopped it.
+    // Prefills of other prompts stalled it meanwhile.
     const double stopped = std::max(
         engine.m_total_prefill_ms - call.m_total_prefill_ms - call.m_prefill_ms,
         0.0);
@@ -172,7 +174,7 @@
 {
     if (question.m_expected_output_tokens == 0)
         return typical_output_tokens(norm, question.m_max_output_tokens);
-    // A caller knows what it asks for better than the mean of all calls does.
+    // A caller's expectation is better than the median of all calls.
     return question.m_max_output_tokens == 0
                ? question.m_expected_output_tokens
                : std::min(question.m_expected_output_tokens,
@@ -182,14 +184,14 @@
 double overdue_factor(const engine_record& engine, instant now)
 {
     double factor = 1;
-    // The last one stands at the end.
+    // The latest call is at the end.
     if (engine.m_calls.empty() ||
         now - engine.m_calls.back().m_started > overdue_trial)
         return factor;
     for (const auto& call : engine.m_calls)
     {
-        // A call that came later has ended: this one is merely long, or its
-        // end was not told.
+        // A call that started later has ended: this one is just long, or its
+        // end was not reported.
         if (call.m_started < engine.m_last_completed_start ||
             call.m_expected_long_ms <= 0)
             continue;
@@ -289,7 +291,7 @@
         return std::nullopt;
     std::optional<running_call> taken(std::move(*row));
     engine.m_calls.erase(row);
-    // Nothing is read by an engine without calls.
+    // An engine without calls prefills nothing.
     if (engine.m_calls.empty())
         engine.m_prefill_until = {};
     return taken;
--- a/src/scheduling/place_line.cpp
+++ b/src/scheduling/place_line.cpp
@@ -7,24 +7,25 @@
 
 namespace {
 
-/// Work a workspace may have in one turn: less than a usual call, so that
-/// long calls cost several turns.
+/// Work per workspace and round: less than a usual call, so that long calls
+/// need several rounds.
 constexpr double turn_ms = 50;
-/// A call that has waited this much longer goes before one of the next
-/// better rank or priority, so that nobody starves. A rank outweighs the
-/// usual patience.
+/// A call that has waited this much longer goes before one of the next better
+/// rank or priority, so that no call starves. A rank outweighs the usual queue
+/// timeout.
 constexpr milliseconds rank_head_start{2000};
 constexpr milliseconds priority_head_start{100};
-/// Priorities beyond count alike: all of them stay less than a rank.
+/// Lower priorities are treated alike, so that all of them together weigh less
+/// than a rank.
 constexpr std::uint32_t lowest_priority = 16;
-/// Rates of a few calls swing: a call is turned away for them only if they
-/// make it wait twice as long as it may.
+/// Rates measured over a few calls vary: a call is refused because of them
+/// only if they predict twice the wait that it accepts.
 constexpr double rate_share = 0.5;
-/// Least and most work that a call counts for, against absurd figures.
+/// Limits on the work of a call, against implausible values.
 constexpr double least_work_ms = 1;
 constexpr double most_work_ms = 60'000;
 
-/// Calls go in the order of this time.
+/// Calls are placed in the order of this time.
 instant order_time(const queued_call& entry)
 {
     return entry.m_enqueued + static_cast<int>(entry.m_rank) * rank_head_start +
@@ -33,7 +34,7 @@
 
 double work_of(const queued_call& entry)
 {
-    // Not a number compares false.
+    // Also catches NaN, which compares false.
     if (!(entry.m_work_ms >= least_work_ms))
         return least_work_ms;
     return std::min(entry.m_work_ms, most_work_ms);
@@ -113,7 +114,7 @@
         auto& row = line.m_workspaces.front();
         if (row.m_deficit_ms >= work_of(row.m_calls.front()))
             return &row.m_calls.front();
-        // Its turn is over; what it has left counts in the next.
+        // Its round is over; the unused credit is carried over.
         row.m_deficit_ms += turn_ms;
         std::rotate(line.m_workspaces.begin(), line.m_workspaces.begin() + 1,
                     line.m_workspaces.end());
@@ -167,7 +168,8 @@
                 own += work_of(before);
         }
     }
-    // Each other workspace has as much in the meantime, if it asks for it.
+    // Each other workspace may place as much in the meantime, if it has it
+    // queued.
     double all = own;
     for (const auto& row : line.m_workspaces)
     {
--- a/src/scheduling/place_service.cpp
+++ b/src/scheduling/place_service.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-/// Longest time in line, whatever patience the caller tells.
+/// Upper bound on the queue timeout that a caller requests.
 constexpr std::uint32_t most_patience_ms = 10'000;
 
 std::uint32_t to_count(double value)
 {
     constexpr double most = std::numeric_limits<std::uint32_t>::max();
-    // Not a number compares false.
+    // Also catches NaN, which compares false.
     if (!(value > 0))
         return 0;
     return static_cast<std::uint32_t>(std::min(value, most));
 }
 
-/// Drops the rows that are not good, if any is.
+/// Removes the rows that are not good, unless none is.
 template <class Row, class Good>
 void keep_if_any(std::vector<Row>& rows, Good good)
 {
@@ -32,7 +32,7 @@
         std::erase_if(rows, std::not_fn(good));
 }
 
-/// By the regions that the call may go to.
+/// True if the regions that the call may use include the engine's.
 bool is_allowed(const engine_info& engine, const placement_request& question)
 {
     const auto& regions = question.m_regions;
@@ -124,7 +124,7 @@
     enqueue_call(m_queue, entry);
     m_queued_requests.emplace(question.m_call, question);
     advance_queue(now);
-    // Its turn may have come at once.
+    // The call may have been placed at once.
     if (m_decisions.empty() || m_decisions.back().m_call != question.m_call)
         return std::nullopt;
     const auto answer = m_decisions.back().m_reply;
@@ -137,7 +137,7 @@
     const auto row = m_placements.find(report.m_call);
     if (row == m_placements.end())
     {
-        // The caller of a call in line may have given up.
+        // The caller of a queued call may have abandoned it.
         if (!leave_queue(report.m_call))
             ++m_counters.m_unknown_reports;
         return;
@@ -168,8 +168,8 @@
     auto* engine = find(report.m_runner);
     if (engine == nullptr)
         return;
-    // What ran beside it there and what it read is not known: nothing is
-    // learnt of its pace.
+    // Which calls ran beside it there and what it prefilled is unknown, so its
+    // times are not used.
     auto told = report;
     told.m_run_ms = 0;
     told.m_first_byte_ms = 0;
@@ -304,7 +304,7 @@
     }
     if (reach == slot_policy::free_slots && !has_free_slot())
         return m_candidates.clear();
-    // Those that refused or seem to hang come in only if all do.
+    // Engines that refused the call or appear to hang are used only if all do.
     keep_if_any(m_candidates,
                 [](const candidate& row) { return !row.m_excluded; });
     keep_if_any(m_candidates,
@@ -317,8 +317,9 @@
 
 bool placement_service::has_free_slot() const
 {
-    // One that has refused a single call is there for others: a call that
-    // can't use it goes into another's queue rather than to stop the line.
+    // An engine that has refused this one call is available to others: a call
+    // that cannot use it goes into another engine's queue rather than blocking
+    // the placement queue.
     const bool all_shunned =
         std::all_of(m_candidates.begin(), m_candidates.end(),
                     [](const candidate& row) { return row.m_deprioritised; });
@@ -344,7 +345,7 @@
         if (!nearly_equal(row.m_cost, best))
             continue;
         const auto runner = m_engines[row.m_engine].m_info.m_runner;
-        // The own zone first, then by lot.
+        // Prefers the caller's zone, then decides by hash.
         const std::pair order(row.m_estimate.m_other_zone,
                               hash_combine(question.m_call, runner));
         if (chosen && order >= lowest)
@@ -358,8 +359,8 @@
 double
 placement_service::expected_work_ms(const placement_request& question) const
 {
-    // What the engine has in memory is not known before one is chosen; the
-    // last part is the conversation's own, and new in some of its tokens.
+    // What the engine has cached is unknown until one is chosen; the last part
+    // is the conversation's own, and new in some of its tokens.
     const double tokens = expected_output_tokens(m_profile, question);
     const double own = question.m_parts.empty()
                            ? question.m_prompt_tokens
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -7,33 +7,36 @@
 
 namespace {
 
-/// Share of its slots that another zone's runner must be less loaded by:
-/// one request of a few-slot runner outweighs the bytes between zones.
+/// How much less loaded a runner of another zone must be, as a share of its
+/// slots: one request at a runner with few slots outweighs the cost of traffic
+/// between zones.
 constexpr double other_zone_load = 0.1;
-/// The way to another region and back takes as long as a short call, and its
-/// bytes cost several times those between zones.
+/// The round trip to another region takes as long as a short call, and its
+/// traffic costs several times that between zones.
 constexpr double other_region_load = 0.5;
-/// How much busier the runner with the cached prefix may be. Reading the
-/// prefix anew costs more than a few neighbours in the batch do.
+/// How much more loaded the runner with the cached prefix may be. Prefilling
+/// the prefix again costs more than a few other calls in the batch.
 constexpr double prompt_load = 0.35;
-/// Worth of a kept connection, as load: less than one request in a slot of
-/// a few, more than chance, so that each VM stays with some of the runners.
+/// Value of a kept-alive connection, as load: less than one request at a
+/// runner with a few slots, more than chance, so that each VM keeps using some
+/// of the runners.
 constexpr double open_connection_load = 0.08;
-/// A runner counts as this much more loaded for each time that it is slower
-/// than usual; the work of single requests differs by less than the margin
-/// once some of them are smoothed.
+/// A runner counts as this much more loaded for each multiple of the usual
+/// time to first byte beyond the margin; smoothed over some requests, the work
+/// of single ones differs by less than the margin.
 constexpr double slow_load = 0.2;
 constexpr double slow_margin = 1.4;
-/// A runner that fails every request is as bad as one with its slots taken
-/// twice over; one that fails a few in a hundred stays in use.
+/// A runner that fails every request ranks like one with twice its slots
+/// occupied; one that fails a few percent stays in use.
 constexpr double trouble_load = 2.0;
-/// Reading a shared part anew costs less than reading a whole conversation, and
-/// as much as one call more in a batch of six.
+/// Prefilling a shared part costs less than prefilling a whole conversation,
+/// and as much as one more call in a batch of six.
 constexpr double shared_part_load = 0.17;
-/// A cold runner is used once the others have half of their slots taken: it
-/// bears few calls, and each asks for leave.
+/// A cold runner is used once the others have half of their slots occupied: it
+/// can serve few calls, and each needs a grant.
 constexpr double cold_load = 0.5;
-/// More than any other cost: avoided ones come last, but they come.
+/// More than any other cost: deprioritised runners come last, but remain
+/// candidates.
 constexpr double avoided_load = 100.0;
 
 } // namespace
--- a/src/scheduling/prompt_home.cpp
+++ b/src/scheduling/prompt_home.cpp
@@ -9,8 +9,8 @@
 find_cached_prompt(const std::vector<prompt_part>& parts,
                    const std::vector<prompt_location>& places)
 {
-    // A part further back covers less of the prompt: a sub-agent's first
-    // turn finds its parent's, its later ones their own.
+    // An earlier part covers less of the prompt: a sub-agent's first turn
+    // finds its parent's location, its later ones their own.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
     {
         std::optional<prompt_location> best;
--- a/src/scheduling/read_pressure.cpp
+++ b/src/scheduling/read_pressure.cpp
@@ -11,26 +11,26 @@
 
 constexpr std::uint64_t megabyte = 1U << 20U;
 /// The process without any call: its code and tables, a thousand idle
-/// connections, and what the kernel holds for them.
+/// connections, and the kernel memory for them.
 constexpr std::uint64_t process_room = 40 * megabyte;
-/// Of the rest, for bytes held; the allocator needs a part for its gaps.
+/// Share of the rest for buffers; the allocator needs some for fragmentation.
 constexpr double held_share = 0.75;
-/// A VM always bears some answers, however small it is.
+/// A VM can always buffer some responses, however small it is.
 constexpr std::uint64_t least_bound = 4 * megabyte;
-/// Without a setting: what the smallest VMs in use bear.
+/// Without a setting: suits the smallest VMs in use.
 constexpr std::uint64_t usual_bound = 32 * megabyte;
 
-/// Shares of the bound at which a level begins, by level. Room is left above
-/// the last one for what comes in while it is not yet clear who reads slowly.
+/// Shares of the limit at which each level begins. Memory is left above the
+/// last one for data that arrives while slow readers are not yet identified.
 constexpr std::array<double, 4> level_begins{0, 0.5, 0.6, 0.7};
 /// A level ends below this share of where it begins.
 constexpr double level_ends = 0.9;
 
-/// The oldest long answer is gathered up to this share of the bound, the
-/// others up to where readers are cut.
+/// The oldest long response is buffered up to this share of the limit, the
+/// others up to where readers are disconnected.
 constexpr double gather_share = 0.85;
-/// New work is taken up to this share: were all of the room promised to it,
-/// nothing that is ready could be delivered, and no room would come back.
+/// New work is accepted up to this share: if all memory were reserved for it,
+/// nothing that is ready could be delivered, and no memory would be freed.
 constexpr double work_share = 0.95;
 
 /// Usual requests are smaller; refusing them would free nothing.
@@ -38,7 +38,7 @@
 
 /// Faster than a bad mobile link, far slower than a usual caller.
 constexpr double slow_bytes_per_s = 4096;
-/// A link that is harmed for a moment recovers within this.
+/// A temporarily impaired link recovers within this time.
 constexpr milliseconds slow_after{1500};
 
 double begin_of(pressure_level level)
@@ -51,8 +51,9 @@
     return static_cast<std::uint64_t>(share * static_cast<double>(bound));
 }
 
-/// Bytes held that a cut brings about: calm again, since usual callers are
-/// held up as long as it is not, and who reads so slowly gains nothing.
+/// Buffered bytes to reach by disconnecting: the normal level, since usual
+/// callers are delayed until then, and readers this slow gain nothing from
+/// waiting.
 std::uint64_t cut_target(std::uint64_t bound)
 {
     return share_of(begin_of(pressure_level::pausing) * level_ends, bound);
@@ -157,7 +158,7 @@
         const auto pace_b = read_rate(b);
         if (pace_a != pace_b)
             return pace_a < pace_b;
-        // Among equals the fewest cuts.
+        // Among equally slow readers, prefers the fewest disconnects.
         return a.m_buffered != b.m_buffered ? a.m_buffered > b.m_buffered
                                             : left < right;
     });
--- a/src/scheduling/second_try.cpp
+++ b/src/scheduling/second_try.cpp
@@ -8,25 +8,28 @@
 
 namespace {
 
-/// From one class to the next.
+/// Ratio between the upper bounds of adjacent buckets.
 constexpr double class_step = 1.2;
-/// What remains of an answer's weight with each further one: some hundred
-/// answers count, a few seconds of a busy route.
+/// Decay of a sample's weight with each further one: about a hundred samples
+/// count, a few seconds of a busy route.
 constexpr double fade = 0.99;
-/// Sum of weights from which on the times say something.
+/// Sum of weights from which the histogram is used.
 constexpr double least_known = 20;
 
-/// Nearly all calls are done by this share; what takes twice that hangs.
+/// Nearly all calls complete within this quantile; a call that takes twice as
+/// long hangs.
 constexpr double usual_share = 0.97;
 constexpr int usual_factor = 2;
-/// The median is steadier where a VM sees few calls; work varies by this.
+/// The median is steadier where a VM sees few calls; the work of calls varies
+/// by this factor.
 constexpr int median_factor = 4;
-/// Shorter waits are within what a busy VM or runner's turn takes.
+/// Shorter waits are within the scheduling delay of a busy VM or runner.
 constexpr milliseconds least_wait{20};
 
-/// Second tries earned by a call: four in a hundred.
+/// Retries earned per call: four in a hundred.
 constexpr double tries_per_call = 0.04;
-/// Saved up for a moment in which a runner hangs with all its calls.
+/// Retries that can be saved for the moment in which a runner hangs with all
+/// its calls.
 constexpr double most_tries = 4;
 
 std::size_t class_of(milliseconds took)
--- a/src/scheduling/start_hold.cpp
+++ b/src/scheduling/start_hold.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// A fleet that lost power serves again within a second of its start. Whoever
-/// cannot by then is cut off from the others, and the balancer, which asks once
-/// a second, has left it out after two misses.
+/// After a power loss the fleet serves again within a second of its start. A
+/// VM that cannot by then is partitioned from the others, and the load
+/// balancer, which checks once a second, has removed it after two failed
+/// checks.
 constexpr milliseconds start_span{2000};
-/// Of the caller's time; the rest is for serving the request, or for one try
-/// elsewhere.
+/// Share of the caller's timeout, three quarters; the rest is for serving the
+/// request, or for one attempt elsewhere.
 constexpr int cached_part = 3;
 constexpr int parts = 4;
-/// For callers that do not say how long they wait: most are people.
+/// For callers that state no timeout: most are people.
 constexpr milliseconds unstated_patience{1000};
 
 } // namespace
