--- a/include/pepperturn/cluster/member_links.hpp
+++ b/include/pepperturn/cluster/member_links.hpp
@@ -199,7 +199,7 @@
                                  std::shared_ptr<frame_link> link);
     void update_isolation();
     void handle_frame(member_link& row, frame value);
-    void handle_heartbeat(member_link& row, const beat_message& heartbeat);
+    void handle_heartbeat(member_link& row, const heartbeat_message& heartbeat);
     [[nodiscard]] static link_facts facts_of(const member_link& row);
     [[nodiscard]] static const char* reason_of(const member_link& row);
     [[nodiscard]] task<std::optional<frame>>
--- a/include/pepperturn/cluster/relay_client.hpp
+++ b/include/pepperturn/cluster/relay_client.hpp
@@ -39,7 +39,7 @@
 
     /// Replaces the relay peers. An empty list is ignored: it comes from a
     /// storage VM that has just started and knows no edge VMs yet.
-    void set_peers(std::vector<neighbour> peers);
+    void set_peers(std::vector<relay_peer> peers);
     void stop();
     /// Called for each cluster state update received from a peer.
     void on_state(std::function<void(const cluster_state&)> handler)
@@ -83,7 +83,7 @@
 private:
     struct peer_state
     {
-        neighbour m_peer;
+        relay_peer m_peer;
         std::shared_ptr<frame_link> m_link;
         bool m_connecting = false;
         bool m_removed = false;
--- a/include/pepperturn/cluster/relay_peers.hpp
+++ b/include/pepperturn/cluster/relay_peers.hpp
@@ -30,8 +30,8 @@
 /// others.
 /// \param candidates edge VMs that relay; entries with the name of the
 /// requester, without an address, or with a name that came before are skipped
-[[nodiscard]] std::vector<neighbour>
-choose_relay_peers(const std::vector<neighbour>& candidates,
+[[nodiscard]] std::vector<relay_peer>
+choose_relay_peers(const std::vector<relay_peer>& candidates,
                    const std::string& requester,
                    const std::string& availability_zone);
 
--- a/include/pepperturn/fleet/storage_node.hpp
+++ b/include/pepperturn/fleet/storage_node.hpp
@@ -83,7 +83,7 @@
     /// \param asker number of its connection
     /// \returns false: the question is about turns
     [[nodiscard]] bool answer(std::uint64_t asker, const frame_body& question,
-                              const turn_server::reply& reply);
+                              const turn_server::reply_sender& reply);
     [[nodiscard]] quota_reply count_request(const quota_request& question);
     /// What this VM has counted, by workspace.
     [[nodiscard]] std::string workspace_text() const;
--- a/include/pepperturn/fleet/storage_places.hpp
+++ b/include/pepperturn/fleet/storage_places.hpp
@@ -26,7 +26,7 @@
 
     /// \param asker number of its connection
     void ask(std::uint64_t asker, const placement_request& question,
-             const turn_server::reply& reply);
+             const turn_server::reply_sender& reply);
     void report(const placement_report& report);
     /// The connection has ended: places asked for on it come back, since
     /// whoever was killed tells no ends, and engines would seem full of runs
@@ -40,12 +40,12 @@
     /// A call in line whose asker waits for the decision.
     struct collector
     {
-        turn_server::reply m_reply;
+        turn_server::reply_sender m_reply;
         instant m_until{};
     };
 
     void collect(const placement_request& question,
-                 const turn_server::reply& reply);
+                 const turn_server::reply_sender& reply);
     void answer_decided();
     /// Notes whose call it is.
     void note_asker(std::uint64_t asker, const placement_request& question);
--- a/include/pepperturn/turns/messages.hpp
+++ b/include/pepperturn/turns/messages.hpp
@@ -33,27 +33,28 @@
     std::string m_name;
     /// Every change of the world is to be told on this connection, and all
     /// that is known first.
-    bool m_wants_news = true;
+    bool m_subscribes = true;
     /// IP:PORT where it passes on what others ask; empty: it does not.
     std::string m_relay_address = {};
     std::string m_availability_zone = {};
     /// It knows all runners up to this revision; 0: none.
     std::uint64_t m_known_runners = 0;
     /// It knows no members yet, and looks for them.
-    bool m_seeks = false;
+    bool m_seeks_members = false;
     friend bool operator==(const hello_message&,
                            const hello_message&) = default;
 };
 
 /// Sent now and then by storage VMs.
-struct beat_message
+struct heartbeat_message
 {
     /// Milliseconds since the platform's store was last heard, by the sender
     /// or by a VM that tells it.
     std::uint32_t m_store_age_ms = 0;
     /// The sender watches the store itself.
     bool m_watches = true;
-    friend bool operator==(const beat_message&, const beat_message&) = default;
+    friend bool operator==(const heartbeat_message&,
+                           const heartbeat_message&) = default;
 };
 
 /// Sets tokens aside and looks a parent up.
@@ -64,7 +65,7 @@
     /// Empty: the first turn of its line.
     std::string m_parent;
     /// The records of the chain are wanted, not only whether it is there.
-    bool m_want_chain = false;
+    bool m_want_history = false;
     friend bool operator==(const begin_message&,
                            const begin_message&) = default;
 };
@@ -75,7 +76,7 @@
     std::vector<reservation> m_ledger;
     bool m_parent_found = false;
     /// Newest first, as far back as this member knows.
-    std::vector<turn_record> m_chain;
+    std::vector<turn_record> m_history;
     friend bool operator==(const begun_message&,
                            const begun_message&) = default;
 };
@@ -105,7 +106,7 @@
 
 struct fetched_message
 {
-    std::vector<turn_record> m_chain;
+    std::vector<turn_record> m_history;
     friend bool operator==(const fetched_message&,
                            const fetched_message&) = default;
 };
@@ -153,43 +154,43 @@
 };
 
 /// Asks for the configuration whole; answered with a cluster_state.
-struct want_config_message
+struct config_request_message
 {
-    friend bool operator==(const want_config_message&,
-                           const want_config_message&) = default;
+    friend bool operator==(const config_request_message&,
+                           const config_request_message&) = default;
 };
 
 /// Asks how fresh what the receiver knows is; answered with a
 /// freshness_message.
-struct want_freshness_message
+struct freshness_request_message
 {
-    friend bool operator==(const want_freshness_message&,
-                           const want_freshness_message&) = default;
+    friend bool operator==(const freshness_request_message&,
+                           const freshness_request_message&) = default;
 };
 
 /// Asks a storage VM for edge VMs that hear it; answered with a
 /// neighbours_message.
-struct want_neighbours_message
+struct relay_peers_request_message
 {
-    friend bool operator==(const want_neighbours_message&,
-                           const want_neighbours_message&) = default;
+    friend bool operator==(const relay_peers_request_message&,
+                           const relay_peers_request_message&) = default;
 };
 
 /// An edge VM that passes on what others ask.
-struct neighbour
+struct relay_peer
 {
     std::string m_name;
     /// IP:PORT.
     std::string m_address;
     std::string m_availability_zone;
-    friend bool operator==(const neighbour&, const neighbour&) = default;
+    friend bool operator==(const relay_peer&, const relay_peer&) = default;
 };
 
-struct neighbours_message
+struct relay_peers_message
 {
-    std::vector<neighbour> m_neighbours;
-    friend bool operator==(const neighbours_message&,
-                           const neighbours_message&) = default;
+    std::vector<relay_peer> m_relay_peers;
+    friend bool operator==(const relay_peers_message&,
+                           const relay_peers_message&) = default;
 };
 
 /// A question to a storage VM that goes through another edge VM, and the
@@ -204,13 +205,15 @@
                            const relayed_message&) = default;
 };
 
-using frame_body = std::variant<
-    hello_message, cluster_state, beat_message, begin_message, begun_message,
-    append_message, appended_message, fetch_message, fetched_message,
-    list_message, listed_message, read_message, entries_message, copied_message,
-    want_config_message, want_freshness_message, freshness_message,
-    quota_request, quota_reply, want_neighbours_message, neighbours_message,
-    relayed_message, placement_request, placement_reply, placement_report>;
+using frame_body =
+    std::variant<hello_message, cluster_state, heartbeat_message, begin_message,
+                 begun_message, append_message, appended_message, fetch_message,
+                 fetched_message, list_message, listed_message, read_message,
+                 entries_message, copied_message, config_request_message,
+                 freshness_request_message, freshness_message, quota_request,
+                 quota_reply, relay_peers_request_message, relay_peers_message,
+                 relayed_message, placement_request, placement_reply,
+                 placement_report>;
 
 struct frame
 {
--- a/include/pepperturn/turns/records.hpp
+++ b/include/pepperturn/turns/records.hpp
@@ -44,7 +44,7 @@
     bool m_settled = false;
     /// Once settled: where a turn that goes on from this one finds its prompt
     /// read already.
-    prompt_location m_place = {};
+    prompt_location m_prompt_location = {};
 
     friend bool operator==(const reservation&, const reservation&) = default;
 };
--- a/include/pepperturn/turns/turn_client.hpp
+++ b/include/pepperturn/turns/turn_client.hpp
@@ -39,9 +39,9 @@
 {
     begin_outcome m_outcome = begin_outcome::unavailable;
     /// The turns to go on from, oldest first.
-    std::vector<turn_record> m_chain;
+    std::vector<turn_record> m_history;
     /// Where the program's prompts have been read.
-    std::vector<prompt_location> m_places;
+    std::vector<prompt_location> m_prompt_locations;
     /// What decided, for the log.
     std::string m_reason;
 };
@@ -67,11 +67,12 @@
         m_zones = std::move(zones);
     }
     /// Every member that keeps the program's turns lies in \p regions.
-    [[nodiscard]] bool keeps_within(const id_key& program,
-                                    const std::set<std::string>& regions) const;
+    [[nodiscard]] bool
+    stored_within(const id_key& program,
+                  const std::set<std::string>& regions) const;
     /// True once enough disks hold the entry.
     /// \param entry a turn
-    [[nodiscard]] task<bool> keep(log_entry entry, instant until);
+    [[nodiscard]] task<bool> store(log_entry entry, instant until);
     /// Tells what an attempt has had in the end; not waited for. If it is
     /// lost, the program is charged the whole reservation.
     /// \param place where its prompt was read
@@ -91,18 +92,18 @@
     struct search_result
     {
         /// Newest first; empty: not found.
-        std::vector<turn_record> m_chain;
+        std::vector<turn_record> m_history;
         /// Every copy that could hold it says that it does not.
-        bool m_nowhere = false;
+        bool m_not_found = false;
     };
 
     /// The set that keeps a program; null: not known yet.
     [[nodiscard]] const set_row* set_for(const id_key& program) const;
     [[nodiscard]] const set_row* find_set(std::uint32_t set) const;
     void send_round(const std::shared_ptr<round>& work);
-    void ask_member(const std::shared_ptr<round>& work, const member& target);
+    void request_from(const std::shared_ptr<round>& work, const member& target);
     /// No member has said anything since \p asked, for long enough.
-    [[nodiscard]] bool cut_off_since(instant asked) const;
+    [[nodiscard]] bool partitioned_since(instant asked) const;
     [[nodiscard]] bool wrote_enough(const round& work) const;
     [[nodiscard]] bool read_enough(const round& work) const;
     [[nodiscard]] bool all_lack_parent(const round& work) const;
@@ -111,12 +112,12 @@
     [[nodiscard]] std::vector<std::string>
     first_members(const set_row& set, std::uint64_t draw) const;
     /// Asks until enough have answered, or until nothing more can be expected.
-    task<> ask_quorum(std::shared_ptr<round> work, bool has_parent,
-                      instant until);
+    task<> await_quorum(std::shared_ptr<round> work, bool has_parent,
+                        instant until);
     /// The turns that a request goes on from, oldest first; empty unless they
     /// are all there.
-    task<search_result> find_chain(std::shared_ptr<round> work,
-                                   begin_request request, instant until);
+    task<search_result> find_history(std::shared_ptr<round> work,
+                                     begin_request request, instant until);
     /// A turn and those before it as far as one member knows, newest first.
     task<std::vector<turn_record>> fetch_in_set(id_key program,
                                                 std::string turn,
@@ -124,9 +125,9 @@
                                                 instant until);
     /// Appends what \p chain lacks, and turns it oldest first; false if not all
     /// is within reach.
-    task<bool> complete_chain(id_key program, std::string parent,
-                              std::uint32_t retention_ms,
-                              std::vector<turn_record>& chain, instant until);
+    task<bool> complete_history(id_key program, std::string parent,
+                                std::uint32_t retention_ms,
+                                std::vector<turn_record>& chain, instant until);
     /// Asks the members of all sets but \p besides for a turn: a program may
     /// go on from another one's turn.
     task<search_result> search_elsewhere(std::string turn,
--- a/include/pepperturn/turns/turn_server.hpp
+++ b/include/pepperturn/turns/turn_server.hpp
@@ -35,21 +35,22 @@
     void save_state();
 
     /// Nobody owns anything by older views than the ones known.
-    void note_settled();
+    void mark_settled();
     /// Merges what is newer and passes it on; \p on_change comes after each.
-    void take_state(const cluster_state& news);
+    void apply_state(const cluster_state& news);
     void on_change(std::function<void(const state_change&)> handler);
     /// Sends the answer to a question, at once or later; of no effect if the
     /// asker is gone.
-    using reply = std::function<void(frame_body)>;
+    using reply_sender = std::function<void(frame_body)>;
     /// Takes questions and notices that are not about turns, whatever the
     /// asker's view is; false: it is none of these.
-    using question_handler = std::function<bool(
-        std::uint64_t asker, const frame_body& body, const reply& answer)>;
+    using request_handler =
+        std::function<bool(std::uint64_t asker, const frame_body& body,
+                           const reply_sender& answer)>;
     /// \param handler takes the number of the asker's connection first
-    void on_question(question_handler handler);
+    void on_request(request_handler handler);
     /// Called with the number of each connection that has ended.
-    void on_gone(std::function<void(std::uint64_t)> handler);
+    void on_disconnect(std::function<void(std::uint64_t)> handler);
     [[nodiscard]] const cluster_state& state() const
     {
         return m_state;
@@ -63,16 +64,16 @@
     /// Tells every connected VM that the platform's store was heard
     /// \p store_age ago.
     /// \param watches this VM watches the store itself
-    void send_beat(milliseconds store_age, bool watches);
+    void send_heartbeat(milliseconds store_age, bool watches);
 
     /// Enters what another member holds.
-    void take_reservations(const std::vector<kept_reservation>& rows);
-    void take_encoded(const std::vector<std::string>& entries);
+    void add_reservations(const std::vector<kept_reservation>& rows);
+    void add_encoded(const std::vector<std::string>& entries);
     /// Waits until all that was entered so far is synced; false: it is not.
     [[nodiscard]] task<bool> synced();
 
     /// This member holds by now what all others had at \p epoch.
-    void note_gathered(std::uint64_t epoch);
+    void mark_gathered(std::uint64_t epoch);
 
     /// Members that hold everything this one had at \p epoch.
     [[nodiscard]] std::set<std::string> copied_by(std::uint64_t epoch) const;
@@ -99,51 +100,51 @@
         std::string m_name;
         std::shared_ptr<frame_link> m_link;
         /// Where it passes on what others ask, if it does.
-        neighbour m_relay;
+        relay_peer m_relay;
         /// It wants to be told every change.
-        bool m_wants_news = false;
+        bool m_subscribed = false;
         /// What it is being told, if it copies.
         std::shared_ptr<const holdings> m_holdings;
     };
     /// What listeners are told that come, encoded once.
-    struct told_news
+    struct encoded_update
     {
         std::uint64_t m_changes = 0;
         std::uint64_t m_known = 0;
         std::uint64_t m_epoch = 0;
         std::shared_ptr<const std::string> m_bytes;
     };
-    struct waiting_answer
+    struct pending_reply
     {
         std::shared_ptr<frame_link> m_link;
-        frame m_answer;
+        frame m_reply;
     };
 
     [[nodiscard]] std::shared_ptr<const holdings> list_holdings();
     /// Writes what is known before anything is done under a new own view.
     void save_own_view();
-    void take_hello(const std::shared_ptr<peer>& from,
-                    const hello_message& hello);
+    void handle_hello(const std::shared_ptr<peer>& from,
+                      const hello_message& hello);
     /// Connected edge VMs that may stand in for the link of \p asker.
-    [[nodiscard]] neighbours_message neighbours_of(const peer& asker) const;
+    [[nodiscard]] relay_peers_message relay_peers_for(const peer& asker) const;
     /// Tells a listener what it lacks.
     /// \param known revision up to which it knows all runners
-    void tell_all(const peer& to, std::uint64_t known);
-    void tell_change(const state_change& change);
+    void send_full_update(const peer& to, std::uint64_t known);
+    void send_change(const state_change& change);
     task<> accept_links();
     void add_link(tcp::socket socket);
-    void take_frame(const std::shared_ptr<peer>& from, frame value);
+    void handle_frame(const std::shared_ptr<peer>& from, frame value);
     [[nodiscard]] frame_status check(const frame& value) const;
-    void answer_begin(const std::shared_ptr<peer>& from, std::uint64_t call,
+    void handle_begin(const std::shared_ptr<peer>& from, std::uint64_t call,
                       const begin_message& question);
-    void answer_list(const std::shared_ptr<peer>& from, std::uint64_t call,
+    void handle_list(const std::shared_ptr<peer>& from, std::uint64_t call,
                      const list_message& question);
-    void answer_read(const std::shared_ptr<peer>& from, std::uint64_t call,
+    void handle_read(const std::shared_ptr<peer>& from, std::uint64_t call,
                      const read_message& question);
-    void answer(const std::shared_ptr<peer>& from, std::uint64_t call,
-                frame_status status, frame_body body);
-    void answer_when_synced(const std::shared_ptr<peer>& from,
-                            std::uint64_t call, frame_body body);
+    void send_reply(const std::shared_ptr<peer>& from, std::uint64_t call,
+                    frame_status status, frame_body body);
+    void reply_when_synced(const std::shared_ptr<peer>& from,
+                           std::uint64_t call, frame_body body);
     void commit();
     void committed(const std::vector<log_batch>& batches, bool good,
                    const std::string& reason);
@@ -160,26 +161,26 @@
     cluster_state m_state;
     cluster_view m_own_view;
     std::function<void(const state_change&)> m_on_change;
-    question_handler m_on_question;
-    std::function<void(std::uint64_t)> m_on_gone;
+    request_handler m_on_request;
+    std::function<void(std::uint64_t)> m_on_disconnect;
     std::uint64_t m_last_number = 0;
     std::set<std::shared_ptr<peer>> m_peers;
     /// Answers for what is queued, and for what is being written.
-    std::vector<waiting_answer> m_queued_answers;
-    std::vector<waiting_answer> m_written_answers;
+    std::vector<pending_reply> m_queued_replies;
+    std::vector<pending_reply> m_writing_replies;
     std::vector<std::function<void(bool)>> m_queued_waits;
-    std::vector<std::function<void(bool)>> m_written_waits;
+    std::vector<std::function<void(bool)>> m_writing_waits;
     bool m_writing = false;
     instant m_writing_since{};
     latency_histogram m_syncs;
     /// Questions by the status of their answer.
-    std::map<frame_status, std::uint64_t> m_answered;
+    std::map<frame_status, std::uint64_t> m_reply_counts;
     /// Changes of the state so far.
     std::uint64_t m_changes = 0;
-    std::optional<told_news> m_told_all;
+    std::optional<encoded_update> m_full_update;
     /// Revision of the runners that all listeners know.
-    std::uint64_t m_told_runners = 0;
-    std::uint64_t m_news_bytes = 0;
+    std::uint64_t m_sent_runners_revision = 0;
+    std::uint64_t m_update_bytes = 0;
     bool m_state_saved = true;
     bool m_disk_good = true;
     std::map<std::string, std::uint64_t> m_copied_at;
--- a/include/pepperturn/turns/turn_store.hpp
+++ b/include/pepperturn/turns/turn_store.hpp
@@ -13,7 +13,7 @@
 namespace pepperturn {
 
 /// Turns that one chain may have; a longer one is not followed further.
-constexpr std::size_t max_chain_turns = 1024;
+constexpr std::size_t max_history_turns = 1024;
 
 class turn_store
 {
@@ -47,7 +47,7 @@
     /// The turn and those before it, newest first, as far as this store
     /// knows them; keeps them for another \p retention.
     [[nodiscard]] std::vector<turn_record>
-    chain(const std::string& id, milliseconds retention, instant now);
+    history(const std::string& id, milliseconds retention, instant now);
 
     /// Forgets what is past its retention and gives disk space back.
     void expire(instant now);
@@ -71,7 +71,7 @@
     {
         std::uint32_t m_tokens = 0;
         bool m_settled = false;
-        prompt_location m_place;
+        prompt_location m_prompt_location;
         log_position m_position;
     };
     struct program_row
@@ -82,10 +82,10 @@
     };
 
     [[nodiscard]] bool is_known(const log_entry& entry) const;
-    void enter(const log_entry& entry, const log_position& position,
-               instant now);
-    void enter_reservation(const reservation& row, std::uint32_t retention_ms,
-                           const log_position& position, instant now);
+    void insert(const log_entry& entry, const log_position& position,
+                instant now);
+    void insert_reservation(const reservation& row, std::uint32_t retention_ms,
+                            const log_position& position, instant now);
     [[nodiscard]] std::optional<turn_record>
     read_turn(const log_position& position) const;
     void compact_oldest(instant now);
--- a/src/cluster/config_fetcher.cpp
+++ b/src/cluster/config_fetcher.cpp
@@ -128,7 +128,7 @@
               << " revision=" << m_announced[member] << " known=" << m_known;
     m_request_failed = false;
     // Answered whatever the requester's epoch is.
-    m_links.call(member, 0, want_config_message{},
+    m_links.call(member, 0, config_request_message{},
                  [this](const std::optional<frame>& reply) {
                      const auto* state =
                          reply ? std::get_if<cluster_state>(&reply->m_body)
--- a/src/cluster/freshness_poller.cpp
+++ b/src/cluster/freshness_poller.cpp
@@ -53,7 +53,7 @@
     const auto& source = sources[m_next_source % sources.size()];
     const auto sent_at = m_time.now();
     const auto reply = co_await m_links.request(
-        source, 0, want_freshness_message{}, sent_at + poll_timeout);
+        source, 0, freshness_request_message{}, sent_at + poll_timeout);
     const auto* message =
         reply ? std::get_if<freshness_message>(&reply->m_body) : nullptr;
     if (message != nullptr)
--- a/src/cluster/member_links.cpp
+++ b/src/cluster/member_links.cpp
@@ -248,12 +248,13 @@
         if (m_on_state)
             m_on_state(row.m_name, *state);
     }
-    else if (const auto* heartbeat = std::get_if<beat_message>(&value.m_body))
+    else if (const auto* heartbeat =
+                 std::get_if<heartbeat_message>(&value.m_body))
         handle_heartbeat(row, *heartbeat);
 }
 
 void member_links::handle_heartbeat(member_link& row,
-                                    const beat_message& heartbeat)
+                                    const heartbeat_message& heartbeat)
 {
     const milliseconds age{heartbeat.m_store_age_ms};
     if (age > store_fresh_limit)
--- a/src/cluster/relay_client.cpp
+++ b/src/cluster/relay_client.cpp
@@ -42,7 +42,7 @@
       m_availability_zone(std::move(availability_zone))
 {}
 
-void relay_client::set_peers(std::vector<neighbour> peers)
+void relay_client::set_peers(std::vector<relay_peer> peers)
 {
     if (peers.empty())
         return;
@@ -359,7 +359,7 @@
         return;
     row.m_probing = true;
     send_request(
-        member, reason, {0, 0, frame_status::ok, want_freshness_message{}},
+        member, reason, {0, 0, frame_status::ok, freshness_request_message{}},
         [this, member](const std::optional<frame>& reply) {
             const auto found = m_members.find(member);
             if (found != m_members.end())
--- a/src/cluster/relay_limits.cpp
+++ b/src/cluster/relay_limits.cpp
@@ -34,8 +34,8 @@
     return std::holds_alternative<begin_message>(body) ||
            std::holds_alternative<append_message>(body) ||
            std::holds_alternative<fetch_message>(body) ||
-           std::holds_alternative<want_freshness_message>(body) ||
-           std::holds_alternative<want_config_message>(body) ||
+           std::holds_alternative<freshness_request_message>(body) ||
+           std::holds_alternative<config_request_message>(body) ||
            std::holds_alternative<placement_request>(body) ||
            std::holds_alternative<placement_report>(body);
 }
--- a/src/cluster/relay_peers.cpp
+++ b/src/cluster/relay_peers.cpp
@@ -14,12 +14,12 @@
 struct ranked_peer
 {
     std::uint64_t m_hash = 0;
-    const neighbour* m_row = nullptr;
+    const relay_peer* m_row = nullptr;
 };
 
 /// Appends the \p count rows with the lowest random values to \p out.
 void take_first(std::vector<ranked_peer>& rows, std::size_t count,
-                std::vector<neighbour>& out)
+                std::vector<relay_peer>& out)
 {
     std::sort(rows.begin(), rows.end(),
               [](const ranked_peer& left, const ranked_peer& right) {
@@ -32,8 +32,8 @@
 
 } // namespace
 
-std::vector<neighbour>
-choose_relay_peers(const std::vector<neighbour>& candidates,
+std::vector<relay_peer>
+choose_relay_peers(const std::vector<relay_peer>& candidates,
                    const std::string& requester,
                    const std::string& availability_zone)
 {
@@ -48,7 +48,7 @@
         auto& rows = row.m_availability_zone == availability_zone ? near : far;
         rows.push_back({hash64(row.m_name, requester_hash), &row});
     }
-    std::vector<neighbour> out;
+    std::vector<relay_peer> out;
     take_first(near, near_peer_count, out);
     take_first(far, far_peer_count, out);
     return out;
--- a/src/cluster/relay_server.cpp
+++ b/src/cluster/relay_server.cpp
@@ -147,7 +147,7 @@
 void relay_server::handle_hello(const std::shared_ptr<frame_link>& link,
                                 const hello_message& hello)
 {
-    if (!hello.m_wants_news)
+    if (!hello.m_subscribes)
         m_subscribers.erase(link);
     else if (m_hooks.m_state && m_subscribers.insert(link).second)
         link->send({0, 0, frame_status::ok, m_hooks.m_state()});
--- a/src/fleet/edge_reach.cpp
+++ b/src/fleet/edge_reach.cpp
@@ -87,16 +87,16 @@
         if (!m_links.reachable_directly(name))
             continue;
         m_next_ask = m_time.now() + first_interval;
-        m_links.call(name, 0, want_neighbours_message{},
+        m_links.call(name, 0, relay_peers_request_message{},
                      [this](const std::optional<frame>& answer) {
                          const auto* told =
-                             answer ? std::get_if<neighbours_message>(
+                             answer ? std::get_if<relay_peers_message>(
                                           &answer->m_body)
                                     : nullptr;
-                         if (told == nullptr || told->m_neighbours.empty())
+                         if (told == nullptr || told->m_relay_peers.empty())
                              return;
                          m_next_ask = m_time.now() + neighbours_interval;
-                         m_detours.set_peers(told->m_neighbours);
+                         m_detours.set_peers(told->m_relay_peers);
                      });
         return;
     }
--- a/src/fleet/storage_limits.cpp
+++ b/src/fleet/storage_limits.cpp
@@ -92,9 +92,9 @@
 }
 
 bool storage_node::answer(std::uint64_t asker, const frame_body& question,
-                          const turn_server::reply& reply)
+                          const turn_server::reply_sender& reply)
 {
-    if (std::holds_alternative<want_freshness_message>(question))
+    if (std::holds_alternative<freshness_request_message>(question))
         reply(report_freshness(freshness(), m_server->state().m_config_revision,
                                m_time.now()));
     else if (const auto* asked = std::get_if<quota_request>(&question))
--- a/src/fleet/storage_membership.cpp
+++ b/src/fleet/storage_membership.cpp
@@ -194,7 +194,7 @@
                 : nullptr;
         if (entries == nullptr || entries->m_entries.size() < end - begin)
             co_return false;
-        m_server->take_encoded(entries->m_entries);
+        m_server->add_encoded(entries->m_entries);
         if (!co_await m_server->synced())
             co_return false;
     }
@@ -228,7 +228,7 @@
             if (!m_store->has_turn(turn.m_key))
                 missing.push_back(turn.m_position);
         }
-        m_server->take_reservations(page->m_reservations);
+        m_server->add_reservations(page->m_reservations);
         copied += missing.size();
         from = page->m_next;
         more = page->m_more;
@@ -285,7 +285,7 @@
         m_server->own_view().m_epoch == view.m_epoch)
     {
         m_caught_up_at = view.m_epoch;
-        m_server->note_gathered(view.m_epoch);
+        m_server->mark_gathered(view.m_epoch);
     }
     m_copying = false;
 }
--- a/src/fleet/storage_node.cpp
+++ b/src/fleet/storage_node.cpp
@@ -181,12 +181,11 @@
         if (!change.m_evacuations.empty())
             m_places.evacuate(evacuated_zones(m_server->state()));
     });
-    m_server->on_question([this](std::uint64_t asker,
-                                 const frame_body& question,
-                                 const turn_server::reply& reply) {
+    m_server->on_request([this](std::uint64_t asker, const frame_body& question,
+                                const turn_server::reply_sender& reply) {
         return answer(asker, question, reply);
     });
-    m_server->on_gone(
+    m_server->on_disconnect(
         [this](std::uint64_t asker) { m_places.note_gone(asker); });
     m_links.on_hello([this] { return m_server->state().m_runners_revision; });
     m_links.on_state(
@@ -228,7 +227,7 @@
 
 void storage_node::take_state(const cluster_state& news)
 {
-    m_server->take_state(news);
+    m_server->apply_state(news);
     m_config_fetcher.note_known(m_server->state().m_config_revision);
 }
 
@@ -349,13 +348,13 @@
         const auto age =
             std::chrono::duration_cast<milliseconds>(now - store_heard());
         constexpr milliseconds most{UINT32_MAX};
-        m_server->send_beat(std::min(age, most), m_source.running());
+        m_server->send_heartbeat(std::min(age, most), m_source.running());
     }
     if (now >= m_next_expiry)
     {
         m_next_expiry = now + expiry_interval;
         if (is_settled(m_owners, now, m_staleness_limits.m_max_revoke_delay))
-            m_server->note_settled();
+            m_server->mark_settled();
         m_server->save_state();
         if (m_loaded)
             m_store->expire(now);
--- a/src/fleet/storage_places.cpp
+++ b/src/fleet/storage_places.cpp
@@ -168,7 +168,7 @@
 }
 
 void storage_places::ask(std::uint64_t asker, const placement_request& question,
-                         const turn_server::reply& reply)
+                         const turn_server::reply_sender& reply)
 {
     note_asked(question.m_service);
     note_asker(asker, question);
@@ -193,7 +193,7 @@
 }
 
 void storage_places::collect(const placement_request& question,
-                             const turn_server::reply& reply)
+                             const turn_server::reply_sender& reply)
 {
     answer_decided();
     const auto found = m_decided.find(question.m_call);
--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -415,7 +415,7 @@
     }
     const auto homes = allowed_regions(*work->m_route, owner);
     if (homes && work->m_route->m_stateful &&
-        !m_turns.keeps_within(begin.m_program, *homes))
+        !m_turns.stored_within(begin.m_program, *homes))
         co_return refuse(
             *work, "turn history cannot be stored within the allowed regions",
             retry_after_no_reply);
@@ -426,18 +426,18 @@
     m_metrics.record_turn_begin(elapsed(work->m_arrived, m_time.now()));
     work->m_reason = result.m_reason + ' ';
     work->m_continues_program =
-        work->m_continues_program || !result.m_places.empty();
+        work->m_continues_program || !result.m_prompt_locations.empty();
     if (result.m_outcome == begin_outcome::granted)
     {
-        for (const auto& turn : result.m_chain)
+        for (const auto& turn : result.m_history)
         {
             work->m_body += turn.m_input;
             work->m_body += turn.m_output;
         }
-        const auto home =
-            find_cached_prompt(fields.m_prompt_parts, result.m_places);
-        if (!result.m_chain.empty())
-            work->m_preferred_runner = result.m_chain.back().m_runner;
+        const auto home = find_cached_prompt(fields.m_prompt_parts,
+                                             result.m_prompt_locations);
+        if (!result.m_history.empty())
+            work->m_preferred_runner = result.m_history.back().m_runner;
         else if (const auto* row =
                      home ? m_runners.find_incarnation_hash(home->m_runner)
                           : nullptr)
--- a/src/forward/proxy_attempts.cpp
+++ b/src/forward/proxy_attempts.cpp
@@ -514,7 +514,7 @@
         turn.m_tokens = count_tokens(events.complete_events());
         work->m_budget_reserved = false;
         log_entry entry{work->m_begin.m_retention_ms, std::move(turn)};
-        if (!co_await m_turns.keep(std::move(entry), work->m_deadline))
+        if (!co_await m_turns.store(std::move(entry), work->m_deadline))
         {
             work->m_reason += "the storage VMs did not store the turn";
             out.m_aborted = true;
--- a/src/turns/messages.cpp
+++ b/src/turns/messages.cpp
@@ -28,17 +28,17 @@
     {
         auto out = m_out.initHello();
         out.setName(body.m_name);
-        out.setWantsNews(body.m_wants_news);
+        out.setWantsNews(body.m_subscribes);
         out.setRelayAddress(body.m_relay_address);
         out.setZone(body.m_availability_zone);
         out.setKnownRunners(body.m_known_runners);
-        out.setSeeks(body.m_seeks);
+        out.setSeeks(body.m_seeks_members);
     }
     void operator()(const cluster_state& body)
     {
         fill(m_out.initState(), body);
     }
-    void operator()(const beat_message& body)
+    void operator()(const heartbeat_message& body)
     {
         auto out = m_out.initBeat();
         out.setStoreAgeMs(body.m_store_age_ms);
@@ -50,14 +50,14 @@
         fill(out.initReservation(), body.m_reservation);
         out.setRetentionMs(body.m_retention_ms);
         out.setParent(body.m_parent);
-        out.setWantChain(body.m_want_chain);
+        out.setWantChain(body.m_want_history);
     }
     void operator()(const begun_message& body)
     {
         auto out = m_out.initBegun();
         fill_all(out.initLedger(body.m_ledger.size()), body.m_ledger);
         out.setParentFound(body.m_parent_found);
-        fill_all(out.initChain(body.m_chain.size()), body.m_chain);
+        fill_all(out.initChain(body.m_history.size()), body.m_history);
     }
     void operator()(const append_message& body)
     {
@@ -75,7 +75,7 @@
     }
     void operator()(const fetched_message& body)
     {
-        fill_all(m_out.initFetched(body.m_chain.size()), body.m_chain);
+        fill_all(m_out.initFetched(body.m_history.size()), body.m_history);
     }
     void operator()(const list_message& body)
     {
@@ -113,11 +113,11 @@
     {
         m_out.setCopied();
     }
-    void operator()(const want_config_message&)
+    void operator()(const config_request_message&)
     {
         m_out.setWantConfig();
     }
-    void operator()(const want_freshness_message&)
+    void operator()(const freshness_request_message&)
     {
         m_out.setWantFreshness();
     }
@@ -149,18 +149,18 @@
         out.setRetryMs(body.m_retry_after_ms);
         out.setPlace(body.m_packed_grant);
     }
-    void operator()(const want_neighbours_message&)
+    void operator()(const relay_peers_request_message&)
     {
         m_out.setWantNeighbours();
     }
-    void operator()(const neighbours_message& body)
+    void operator()(const relay_peers_message& body)
     {
-        auto out = m_out.initNeighbours(body.m_neighbours.size());
+        auto out = m_out.initNeighbours(body.m_relay_peers.size());
         for (unsigned i = 0; i < out.size(); ++i)
         {
-            out[i].setName(body.m_neighbours[i].m_name);
-            out[i].setAddress(body.m_neighbours[i].m_address);
-            out[i].setZone(body.m_neighbours[i].m_availability_zone);
+            out[i].setName(body.m_relay_peers[i].m_name);
+            out[i].setAddress(body.m_relay_peers[i].m_address);
+            out[i].setZone(body.m_relay_peers[i].m_availability_zone);
         }
     }
     void operator()(const relayed_message& body)
@@ -289,14 +289,14 @@
             in.getKnownRunners(),          in.getSeeks()};
 }
 
-neighbours_message
+relay_peers_message
 read_neighbours(capnp::List<turns_wire::Neighbour>::Reader in)
 {
-    neighbours_message out;
+    relay_peers_message out;
     for (const auto row : in)
-        out.m_neighbours.push_back({text_of(row.getName()),
-                                    text_of(row.getAddress()),
-                                    text_of(row.getZone())});
+        out.m_relay_peers.push_back({text_of(row.getName()),
+                                     text_of(row.getAddress()),
+                                     text_of(row.getZone())});
     return out;
 }
 
@@ -352,8 +352,8 @@
     case kind::STATE:
         return read(in.getState());
     case kind::BEAT:
-        return beat_message{in.getBeat().getStoreAgeMs(),
-                            in.getBeat().getWatches()};
+        return heartbeat_message{in.getBeat().getStoreAgeMs(),
+                                 in.getBeat().getWatches()};
     case kind::BEGIN:
         return read_begin(in.getBegin());
     case kind::BEGUN:
@@ -378,9 +378,9 @@
     case kind::COPIED:
         return copied_message{};
     case kind::WANT_CONFIG:
-        return want_config_message{};
+        return config_request_message{};
     case kind::WANT_FRESHNESS:
-        return want_freshness_message{};
+        return freshness_request_message{};
     case kind::FRESHNESS:
         return freshness_message{in.getFreshness().getConfigRevision(),
                                  in.getFreshness().getConfigAgeMs(),
@@ -390,7 +390,7 @@
     case kind::QUOTA_ANSWER:
         return read_answer(in.getQuotaAnswer());
     case kind::WANT_NEIGHBOURS:
-        return want_neighbours_message{};
+        return relay_peers_request_message{};
     case kind::NEIGHBOURS:
         return read_neighbours(in.getNeighbours());
     case kind::RELAYED:
--- a/src/turns/turn_chains.cpp
+++ b/src/turns/turn_chains.cpp
@@ -40,7 +40,7 @@
                 : nullptr;
         state->m_unsure = state->m_unsure || fetched == nullptr;
         if (fetched != nullptr && state->m_chain.empty())
-            state->m_chain = fetched->m_chain;
+            state->m_chain = fetched->m_history;
         state->m_changed.notify();
     };
     for (const auto& set : m_sets)
@@ -61,10 +61,10 @@
            m_time.now() < give_up)
         co_await state->m_changed.wait_until(give_up);
     search_result out;
-    out.m_nowhere = state->m_chain.empty() && state->m_open == 0 &&
-                    !state->m_unsure && !m_sets.empty() &&
-                    m_sets.size() == m_sets.front().m_view.m_set_count;
-    out.m_chain = std::move(state->m_chain);
+    out.m_not_found = state->m_chain.empty() && state->m_open == 0 &&
+                      !state->m_unsure && !m_sets.empty() &&
+                      m_sets.size() == m_sets.front().m_view.m_set_count;
+    out.m_history = std::move(state->m_chain);
     co_return out;
 }
 
@@ -87,16 +87,16 @@
             std::min(until, m_time.now() + fetch_patience));
         const auto* fetched =
             answer ? std::get_if<fetched_message>(&answer->m_body) : nullptr;
-        if (fetched != nullptr && !fetched->m_chain.empty())
-            co_return fetched->m_chain;
+        if (fetched != nullptr && !fetched->m_history.empty())
+            co_return fetched->m_history;
     }
     co_return std::vector<turn_record>{};
 }
 
-task<bool> turn_client::complete_chain(id_key program, std::string parent,
-                                       std::uint32_t retention_ms,
-                                       std::vector<turn_record>& chain,
-                                       instant until)
+task<bool> turn_client::complete_history(id_key program, std::string parent,
+                                         std::uint32_t retention_ms,
+                                         std::vector<turn_record>& chain,
+                                         instant until)
 {
     // Newest first until the end, so that what is missing is appended.
     while (true)
@@ -114,7 +114,7 @@
             const auto besides = home == nullptr ? 0 : home->m_view.m_set;
             auto found = co_await search_elsewhere(missing, besides,
                                                    retention_ms, until);
-            more = std::move(found.m_chain);
+            more = std::move(found.m_history);
         }
         if (more.empty() || m_time.now() >= until)
             co_return false;
@@ -125,15 +125,15 @@
 }
 
 task<turn_client::search_result>
-turn_client::find_chain(std::shared_ptr<round> work, begin_request request,
-                        instant until)
+turn_client::find_history(std::shared_ptr<round> work, begin_request request,
+                          instant until)
 {
     search_result out;
     if (work->parent_found())
     {
-        const auto* near = work->begun(work->m_chain_from);
+        const auto* near = work->begun(work->m_history_member);
         if (near != nullptr)
-            out.m_chain = near->m_chain;
+            out.m_history = near->m_history;
     }
     else
     {
@@ -143,14 +143,14 @@
         const auto besides = home == nullptr ? 0 : home->m_view.m_set;
         out = co_await search_elsewhere(request.m_parent, besides,
                                         request.m_retention_ms, until);
-        if (out.m_chain.empty())
+        if (out.m_history.empty())
             co_return out;
     }
     const bool whole =
-        co_await complete_chain(request.m_program, request.m_parent,
-                                request.m_retention_ms, out.m_chain, until);
+        co_await complete_history(request.m_program, request.m_parent,
+                                  request.m_retention_ms, out.m_history, until);
     if (!whole)
-        out.m_chain.clear();
+        out.m_history.clear();
     co_return out;
 }
 
--- a/src/turns/turn_client.cpp
+++ b/src/turns/turn_client.cpp
@@ -67,7 +67,7 @@
     });
 }
 
-bool turn_client::cut_off_since(instant asked) const
+bool turn_client::partitioned_since(instant asked) const
 {
     if (m_time.now() - asked < cut_off_patience)
         return false;
@@ -132,8 +132,8 @@
     return best;
 }
 
-bool turn_client::keeps_within(const id_key& program,
-                               const std::set<std::string>& regions) const
+bool turn_client::stored_within(const id_key& program,
+                                const std::set<std::string>& regions) const
 {
     const auto* set = set_for(program);
     if (set == nullptr)
@@ -144,13 +144,13 @@
     });
 }
 
-void turn_client::ask_member(const std::shared_ptr<round>& work,
-                             const member& target)
+void turn_client::request_from(const std::shared_ptr<round>& work,
+                               const member& target)
 {
     work->m_rows[target.m_name].m_pending = true;
     auto body = work->m_body;
     if (auto* begin = std::get_if<begin_message>(&body))
-        begin->m_want_chain = target.m_name == work->m_chain_from;
+        begin->m_want_history = target.m_name == work->m_history_member;
     const auto take = [this, work, name = target.m_name,
                        epoch = work->m_epoch](std::optional<frame> answer) {
         if (work->m_closed || work->m_epoch != epoch)
@@ -162,7 +162,7 @@
             set != nullptr && answer->m_epoch < set->m_view.m_epoch)
             m_links.send_view(name, set->m_view);
         if (answer && answer->m_status == frame_status::ok)
-            asked.m_answer = std::move(answer);
+            asked.m_reply = std::move(answer);
         work->m_changed.notify();
     };
     m_links.call(target.m_name, work->m_epoch, std::move(body), take);
@@ -178,11 +178,11 @@
         // Answers under another view do not add up with those of this one.
         work->m_epoch = set->m_view.m_epoch;
         work->m_rows.clear();
-        work->m_chain_from = nearest_member(*set);
+        work->m_history_member = nearest_member(*set);
     }
-    const bool ask_all = m_time.now() >= work->m_ask_all_at;
+    const bool ask_all = m_time.now() >= work->m_request_all_at;
     const auto first = ask_all ? std::vector<std::string>{}
-                               : first_members(*set, work->m_draw);
+                               : first_members(*set, work->m_random_tiebreak);
     // What leaves still tells what it holds.
     const bool reads = std::holds_alternative<begin_message>(work->m_body);
     const auto members = set->m_view.m_members;
@@ -194,9 +194,9 @@
                                                  target.m_name) != first.end();
         const bool useful =
             writes ? wanted : reads && target.m_state == member_state::leaving;
-        if (useful && !row.m_pending && !row.m_answer &&
+        if (useful && !row.m_pending && !row.m_reply &&
             m_links.connected(target.m_name))
-            ask_member(work, target);
+            request_from(work, target);
     }
 }
 
@@ -208,7 +208,7 @@
     std::uint32_t count = 0;
     for (const auto& row : set->m_view.m_members)
     {
-        if (takes_writes(row.m_state) && work.answered(row.m_name))
+        if (takes_writes(row.m_state) && work.has_reply(row.m_name))
             ++count;
     }
     return set->m_quorums.m_write > 0 && count >= set->m_quorums.m_write;
@@ -223,7 +223,7 @@
     std::uint32_t leaving = 0;
     for (const auto& row : set->m_view.m_members)
     {
-        if (!work.answered(row.m_name))
+        if (!work.has_reply(row.m_name))
             continue;
         full += row.m_state == member_state::full ? 1 : 0;
         leaving += row.m_state == member_state::leaving ? 1 : 0;
@@ -249,13 +249,13 @@
     return true;
 }
 
-task<> turn_client::ask_quorum(std::shared_ptr<round> work, bool has_parent,
-                               instant until)
+task<> turn_client::await_quorum(std::shared_ptr<round> work, bool has_parent,
+                                 instant until)
 {
     const auto begun_at = m_time.now();
-    work->m_ask_all_at = begun_at + quorum_patience;
+    work->m_request_all_at = begun_at + quorum_patience;
     std::optional<instant> quorum_at;
-    while (m_time.now() < until && !cut_off_since(begun_at))
+    while (m_time.now() < until && !partitioned_since(begun_at))
     {
         send_round(work);
         if (wrote_enough(*work) && read_enough(*work))
@@ -265,14 +265,15 @@
             if (!quorum_at)
                 quorum_at = m_time.now();
             const bool found = work->parent_found();
-            const bool chain_due = work->begun(work->m_chain_from) != nullptr ||
-                                   m_time.now() >= *quorum_at + chain_patience;
+            const bool chain_due =
+                work->begun(work->m_history_member) != nullptr ||
+                m_time.now() >= *quorum_at + chain_patience;
             if ((found && chain_due) || all_lack_parent(*work))
                 co_return;
             // Only every member together knows that a turn is not there.
-            if (!found && m_time.now() < work->m_ask_all_at)
+            if (!found && m_time.now() < work->m_request_all_at)
             {
-                work->m_ask_all_at = m_time.now();
+                work->m_request_all_at = m_time.now();
                 continue;
             }
         }
@@ -293,10 +294,10 @@
     question.m_parent = request.m_parent;
     const auto work =
         std::make_shared<round>(m_io, request.m_program, question);
-    work->m_draw = request.m_attempt.m_low;
+    work->m_random_tiebreak = request.m_attempt.m_low;
     const bool has_parent = !request.m_parent.empty();
     begin_result result;
-    co_await ask_quorum(work, has_parent, until);
+    co_await await_quorum(work, has_parent, until);
     if (!wrote_enough(*work) || !read_enough(*work))
     {
         work->m_closed = true;
@@ -314,45 +315,45 @@
     }
     for (const auto& [attempt, row] : ledger)
     {
-        if (row.m_place.m_runner != 0)
-            result.m_places.push_back(row.m_place);
+        if (row.m_prompt_location.m_runner != 0)
+            result.m_prompt_locations.push_back(row.m_prompt_location);
     }
     const auto committed = committed_tokens(ledger, request.m_attempt);
     result.m_reason = "committed=" + std::to_string(committed) +
                       " budget=" + std::to_string(request.m_budget);
     search_result found;
     if (has_parent)
-        found = co_await find_chain(work, request, until);
+        found = co_await find_history(work, request, until);
     work->m_closed = true;
     if (!fits_budget(ledger, question.m_reservation, request.m_budget))
         result.m_outcome = begin_outcome::over_budget;
-    else if (!has_parent || !found.m_chain.empty())
+    else if (!has_parent || !found.m_history.empty())
         result.m_outcome = begin_outcome::granted;
-    else if (found.m_nowhere)
+    else if (found.m_not_found)
         result.m_outcome = begin_outcome::no_such_turn;
     else
         result.m_reason = "the chain is not all within reach";
-    result.m_chain = std::move(found.m_chain);
+    result.m_history = std::move(found.m_history);
     co_return result;
 }
 
-task<bool> turn_client::keep(log_entry entry, instant until)
+task<bool> turn_client::store(log_entry entry, instant until)
 {
     const auto& turn = std::get<turn_record>(entry.m_what);
     const auto program = turn.m_program;
     const auto draw = turn.m_attempt.m_low;
     const auto work = std::make_shared<round>(m_io, program,
                                               append_message{std::move(entry)});
-    work->m_draw = draw;
+    work->m_random_tiebreak = draw;
     const auto begun_at = m_time.now();
-    work->m_ask_all_at = begun_at + quorum_patience;
-    while (m_time.now() < until && !cut_off_since(begun_at))
+    work->m_request_all_at = begun_at + quorum_patience;
+    while (m_time.now() < until && !partitioned_since(begun_at))
     {
         send_round(work);
         if (wrote_enough(*work))
             break;
-        const auto wake = m_time.now() < work->m_ask_all_at
-                              ? work->m_ask_all_at
+        const auto wake = m_time.now() < work->m_request_all_at
+                              ? work->m_request_all_at
                               : m_time.now() + retry_interval;
         co_await work->m_changed.wait_until(std::min(until, wake));
     }
--- a/src/turns/turn_news.cpp
+++ b/src/turns/turn_news.cpp
@@ -36,44 +36,45 @@
 
 } // namespace
 
-void turn_server::take_hello(const std::shared_ptr<peer>& from,
-                             const hello_message& hello)
+void turn_server::handle_hello(const std::shared_ptr<peer>& from,
+                               const hello_message& hello)
 {
     from->m_name = hello.m_name;
     from->m_relay = {hello.m_name, hello.m_relay_address,
                      hello.m_availability_zone};
-    if (hello.m_seeks && m_state.m_runners.size() > most_runners_for_seekers)
+    if (hello.m_seeks_members &&
+        m_state.m_runners.size() > most_runners_for_seekers)
     {
         auto news = full_state(m_state);
         news.m_runners.clear();
         news.m_runners_revision = 0;
-        answer(from, 0, frame_status::ok, std::move(news));
+        send_reply(from, 0, frame_status::ok, std::move(news));
         return;
     }
-    const bool wanted = std::exchange(from->m_wants_news, hello.m_wants_news);
-    if (from->m_wants_news && !wanted)
-        tell_all(*from, hello.m_known_runners);
+    const bool wanted = std::exchange(from->m_subscribed, hello.m_subscribes);
+    if (from->m_subscribed && !wanted)
+        send_full_update(*from, hello.m_known_runners);
 }
 
-void turn_server::tell_all(const peer& to, std::uint64_t known)
+void turn_server::send_full_update(const peer& to, std::uint64_t known)
 {
     // Hundreds may ask at the same moment, most of them for the same.
     const auto epoch = m_own_view.m_epoch;
-    const bool same = m_told_all && m_told_all->m_changes == m_changes &&
-                      m_told_all->m_known == known &&
-                      m_told_all->m_epoch == epoch;
+    const bool same = m_full_update && m_full_update->m_changes == m_changes &&
+                      m_full_update->m_known == known &&
+                      m_full_update->m_epoch == epoch;
     if (!same)
-        m_told_all = told_news{
+        m_full_update = encoded_update{
             m_changes, known, epoch,
             std::make_shared<const std::string>(encode_frame(
                 {0, epoch, frame_status::ok, updates_since(m_state, known)}))};
-    m_news_bytes += m_told_all->m_bytes->size();
-    to.m_link->send(m_told_all->m_bytes);
+    m_update_bytes += m_full_update->m_bytes->size();
+    to.m_link->send(m_full_update->m_bytes);
 }
 
-neighbours_message turn_server::neighbours_of(const peer& asker) const
+relay_peers_message turn_server::relay_peers_for(const peer& asker) const
 {
-    std::vector<neighbour> candidates;
+    std::vector<relay_peer> candidates;
     candidates.reserve(m_peers.size());
     for (const auto& row : m_peers)
         candidates.push_back(row->m_relay);
@@ -81,7 +82,7 @@
                                asker.m_relay.m_availability_zone)};
 }
 
-void turn_server::take_state(const cluster_state& news)
+void turn_server::apply_state(const cluster_state& news)
 {
     const auto change = merge_state(m_state, news);
     if (!change.any())
@@ -102,28 +103,28 @@
               << " moved=" << change.m_runners.size()
               << " views_moved=" << change.m_views.size()
               << " set=" << m_own_view.m_set << " epoch=" << m_own_view.m_epoch;
-    tell_change(change);
+    send_change(change);
     if (m_on_change)
         m_on_change(change);
 }
 
-void turn_server::tell_change(const state_change& change)
+void turn_server::send_change(const state_change& change)
 {
     auto parts = changed_parts(m_state, change);
     // Whoever listens has been told all up to there.
-    if (m_told_runners > 0)
+    if (m_sent_runners_revision > 0)
     {
-        parts.m_runners_since = m_told_runners;
+        parts.m_runners_since = m_sent_runners_revision;
         parts.m_runners_revision = m_state.m_runners_revision;
     }
-    m_told_runners = m_state.m_runners_revision;
+    m_sent_runners_revision = m_state.m_runners_revision;
     const auto bytes = std::make_shared<const std::string>(
         encode_frame({0, m_own_view.m_epoch, frame_status::ok, parts}));
     for (const auto& row : std::set(m_peers))
     {
-        if (!row->m_wants_news)
+        if (!row->m_subscribed)
             continue;
-        m_news_bytes += bytes->size();
+        m_update_bytes += bytes->size();
         row->m_link->send(bytes);
     }
 }
@@ -150,13 +151,13 @@
         LOG(ERROR) << "event=state_unreadable reason=\"" << reason << '"';
         return;
     }
-    take_state(*state);
+    apply_state(*state);
     m_state.m_settled_epoch = state->m_settled_epoch;
     m_state.m_tombstones_since = state->m_tombstones_since;
     m_state_saved = true;
 }
 
-void turn_server::note_settled()
+void turn_server::mark_settled()
 {
     const auto newest = newest_epoch(m_state);
     if (m_state.m_settled_epoch == newest)
@@ -176,11 +177,12 @@
     });
 }
 
-void turn_server::send_beat(milliseconds store_age, bool watches)
+void turn_server::send_heartbeat(milliseconds store_age, bool watches)
 {
     const auto age = static_cast<std::uint32_t>(store_age.count());
-    const auto bytes = std::make_shared<const std::string>(encode_frame(
-        {0, m_own_view.m_epoch, frame_status::ok, beat_message{age, watches}}));
+    const auto bytes = std::make_shared<const std::string>(
+        encode_frame({0, m_own_view.m_epoch, frame_status::ok,
+                      heartbeat_message{age, watches}}));
     for (const auto& row : std::set(m_peers))
         row->m_link->send(bytes);
 }
--- a/src/turns/turn_round.hpp
+++ b/src/turns/turn_round.hpp
@@ -16,7 +16,7 @@
     struct row
     {
         bool m_pending = false;
-        std::optional<frame> m_answer;
+        std::optional<frame> m_reply;
     };
 
     round(asio::io_context& io, id_key program, frame_body body)
@@ -26,27 +26,27 @@
     id_key m_program;
     frame_body m_body;
     /// The one member that is asked for the chain as well.
-    std::string m_chain_from;
+    std::string m_history_member;
     /// Spreads the members that are asked first.
-    std::uint64_t m_draw = 0;
+    std::uint64_t m_random_tiebreak = 0;
     /// From then on every member is asked.
-    instant m_ask_all_at{};
+    instant m_request_all_at{};
     std::uint64_t m_epoch = 0;
     std::map<std::string, row> m_rows;
     async_event m_changed;
     bool m_closed = false;
 
-    [[nodiscard]] bool answered(const std::string& name) const
+    [[nodiscard]] bool has_reply(const std::string& name) const
     {
         const auto found = m_rows.find(name);
-        return found != m_rows.end() && found->second.m_answer;
+        return found != m_rows.end() && found->second.m_reply;
     }
     [[nodiscard]] const begun_message* begun(const std::string& name) const
     {
         const auto found = m_rows.find(name);
-        if (found == m_rows.end() || !found->second.m_answer)
+        if (found == m_rows.end() || !found->second.m_reply)
             return nullptr;
-        return std::get_if<begun_message>(&found->second.m_answer->m_body);
+        return std::get_if<begun_message>(&found->second.m_reply->m_body);
     }
     [[nodiscard]] bool parent_found() const
     {
--- a/src/turns/turn_server.cpp
+++ b/src/turns/turn_server.cpp
@@ -72,11 +72,11 @@
     from->m_link = std::make_shared<frame_link>(m_io, std::move(socket));
     m_peers.insert(from);
     from->m_link->start(
-        [this, from](frame value) { take_frame(from, std::move(value)); },
+        [this, from](frame value) { handle_frame(from, std::move(value)); },
         [this, from](const std::string&) {
             m_peers.erase(from);
-            if (m_on_gone)
-                m_on_gone(from->m_number);
+            if (m_on_disconnect)
+                m_on_disconnect(from->m_number);
         });
 }
 void turn_server::write_metrics(std::string& out) const
@@ -85,13 +85,13 @@
     write_metric(out, "news_listeners",
                  static_cast<std::uint64_t>(std::count_if(
                      m_peers.begin(), m_peers.end(),
-                     [](const auto& row) { return row->m_wants_news; })));
-    write_metric(out, "news_bytes", m_news_bytes);
+                     [](const auto& row) { return row->m_subscribed; })));
+    write_metric(out, "news_bytes", m_update_bytes);
     write_metric(out, "replica_set", m_own_view.m_set);
     write_metric(out, "view_epoch", m_own_view.m_epoch);
     write_metric(out, "view_members", m_own_view.m_members.size());
     write_metric(out, "runners", count_runners(m_state));
-    for (const auto& [status, count] : m_answered)
+    for (const auto& [status, count] : m_reply_counts)
         write_metric(out, std::string("questions_") + to_string(status), count);
     m_syncs.write(out, "sync");
 }
@@ -101,17 +101,18 @@
     m_on_change = std::move(handler);
 }
 
-void turn_server::on_question(question_handler handler)
+void turn_server::on_request(request_handler handler)
 {
-    m_on_question = std::move(handler);
+    m_on_request = std::move(handler);
 }
 
-void turn_server::on_gone(std::function<void(std::uint64_t)> handler)
+void turn_server::on_disconnect(std::function<void(std::uint64_t)> handler)
 {
-    m_on_gone = std::move(handler);
+    m_on_disconnect = std::move(handler);
 }
-void turn_server::answer(const std::shared_ptr<peer>& from, std::uint64_t call,
-                         frame_status status, frame_body body)
+void turn_server::send_reply(const std::shared_ptr<peer>& from,
+                             std::uint64_t call, frame_status status,
+                             frame_body body)
 {
     from->m_link->send({call, m_own_view.m_epoch, status, std::move(body)});
 }
@@ -137,19 +138,19 @@
     return frame_status::ok;
 }
 
-void turn_server::take_frame(const std::shared_ptr<peer>& from, frame value)
+void turn_server::handle_frame(const std::shared_ptr<peer>& from, frame value)
 {
     if (const auto* hello = std::get_if<hello_message>(&value.m_body))
     {
-        take_hello(from, *hello);
+        handle_hello(from, *hello);
         return;
     }
     if (const auto* news = std::get_if<cluster_state>(&value.m_body))
     {
-        take_state(*news);
+        apply_state(*news);
         return;
     }
-    if (m_on_question)
+    if (m_on_request)
     {
         const auto reply = [this, link = from->m_link,
                             call = value.m_call](frame_body body) {
@@ -158,59 +159,60 @@
                 link->send({call, m_own_view.m_epoch, frame_status::ok,
                             std::move(body)});
         };
-        if (m_on_question(from->m_number, value.m_body, reply))
+        if (m_on_request(from->m_number, value.m_body, reply))
             return;
     }
     if (value.m_call == 0)
         return;
     // Whatever the asker's view is.
-    if (std::holds_alternative<want_config_message>(value.m_body))
+    if (std::holds_alternative<config_request_message>(value.m_body))
     {
         cluster_state told;
         told.m_config_revision = m_state.m_config_revision;
         told.m_config = m_state.m_config;
-        answer(from, value.m_call, frame_status::ok, std::move(told));
+        send_reply(from, value.m_call, frame_status::ok, std::move(told));
         return;
     }
-    if (std::holds_alternative<want_neighbours_message>(value.m_body))
+    if (std::holds_alternative<relay_peers_request_message>(value.m_body))
     {
-        answer(from, value.m_call, frame_status::ok, neighbours_of(*from));
+        send_reply(from, value.m_call, frame_status::ok,
+                   relay_peers_for(*from));
         return;
     }
     const auto status = check(value);
-    ++m_answered[status];
+    ++m_reply_counts[status];
     if (status != frame_status::ok)
     {
         if (status == frame_status::stale && value.m_epoch < m_own_view.m_epoch)
-            answer(from, 0, frame_status::ok,
-                   changed_parts(m_state, {.m_views = {m_own_view.m_set}}));
-        answer(from, value.m_call, status, appended_message{});
+            send_reply(from, 0, frame_status::ok,
+                       changed_parts(m_state, {.m_views = {m_own_view.m_set}}));
+        send_reply(from, value.m_call, status, appended_message{});
         return;
     }
     if (const auto* begin = std::get_if<begin_message>(&value.m_body))
-        answer_begin(from, value.m_call, *begin);
+        handle_begin(from, value.m_call, *begin);
     else if (const auto* append = std::get_if<append_message>(&value.m_body))
     {
         m_store.append(append->m_entry, m_time.now());
-        answer_when_synced(from, value.m_call, appended_message{});
+        reply_when_synced(from, value.m_call, appended_message{});
     }
     else if (const auto* fetch = std::get_if<fetch_message>(&value.m_body))
-        answer(from, value.m_call, frame_status::ok,
-               fetched_message{m_store.chain(
-                   fetch->m_turn, milliseconds(fetch->m_retention_ms),
-                   m_time.now())});
+        send_reply(from, value.m_call, frame_status::ok,
+                   fetched_message{m_store.history(
+                       fetch->m_turn, milliseconds(fetch->m_retention_ms),
+                       m_time.now())});
     else if (const auto* list = std::get_if<list_message>(&value.m_body))
-        answer_list(from, value.m_call, *list);
+        handle_list(from, value.m_call, *list);
     else if (const auto* read = std::get_if<read_message>(&value.m_body))
-        answer_read(from, value.m_call, *read);
+        handle_read(from, value.m_call, *read);
     else if (std::holds_alternative<copied_message>(value.m_body))
     {
         m_copied_at[from->m_name] = m_own_view.m_epoch;
-        answer(from, value.m_call, frame_status::ok, appended_message{});
+        send_reply(from, value.m_call, frame_status::ok, appended_message{});
     }
 }
 
-void turn_server::answer_begin(const std::shared_ptr<peer>& from,
+void turn_server::handle_begin(const std::shared_ptr<peer>& from,
                                std::uint64_t call,
                                const begin_message& question)
 {
@@ -222,10 +224,10 @@
     body.m_ledger = m_store.ledger_of(question.m_reservation.m_program);
     body.m_parent_found =
         !question.m_parent.empty() && m_store.has_turn(question.m_parent);
-    if (question.m_want_chain)
-        body.m_chain = m_store.chain(
+    if (question.m_want_history)
+        body.m_history = m_store.history(
             question.m_parent, milliseconds(question.m_retention_ms), now);
-    answer_when_synced(from, call, std::move(body));
+    reply_when_synced(from, call, std::move(body));
 }
 
 std::shared_ptr<const turn_server::holdings> turn_server::list_holdings()
@@ -241,12 +243,12 @@
     return held;
 }
 
-void turn_server::answer_list(const std::shared_ptr<peer>& from,
+void turn_server::handle_list(const std::shared_ptr<peer>& from,
                               std::uint64_t call, const list_message& question)
 {
     if (question.m_gathered && m_gathered_at != m_own_view.m_epoch)
     {
-        answer(from, call, frame_status::failed, listed_message{});
+        send_reply(from, call, frame_status::failed, listed_message{});
         return;
     }
     if (question.m_from == 0 || !from->m_holdings)
@@ -266,10 +268,10 @@
         body.m_next < std::max(held.m_turns.size(), held.m_reservations.size());
     if (!body.m_more)
         from->m_holdings.reset();
-    answer(from, call, frame_status::ok, std::move(body));
+    send_reply(from, call, frame_status::ok, std::move(body));
 }
 
-void turn_server::answer_read(const std::shared_ptr<peer>& from,
+void turn_server::handle_read(const std::shared_ptr<peer>& from,
                               std::uint64_t call, const read_message& question)
 {
     entries_message body;
@@ -281,10 +283,10 @@
         else
             LOG(WARNING) << "event=entry_unreadable position=" << position;
     }
-    answer(from, call, frame_status::ok, std::move(body));
+    send_reply(from, call, frame_status::ok, std::move(body));
 }
 
-void turn_server::note_gathered(std::uint64_t epoch)
+void turn_server::mark_gathered(std::uint64_t epoch)
 {
     m_gathered_at = epoch;
     // Listed before, it lacks what was gathered.
@@ -302,14 +304,14 @@
     return out;
 }
 
-void turn_server::take_reservations(const std::vector<kept_reservation>& rows)
+void turn_server::add_reservations(const std::vector<kept_reservation>& rows)
 {
     for (const auto& kept : rows)
         m_store.append({kept.m_retention_ms, kept.m_row}, m_time.now());
     commit();
 }
 
-void turn_server::take_encoded(const std::vector<std::string>& entries)
+void turn_server::add_encoded(const std::vector<std::string>& entries)
 {
     for (const auto& entry : entries)
     {
@@ -331,7 +333,7 @@
     };
     const auto state = std::make_shared<waited>();
     const auto event = std::make_shared<async_event>(m_io);
-    auto& waits = m_log.has_pending() ? m_queued_waits : m_written_waits;
+    auto& waits = m_log.has_pending() ? m_queued_waits : m_writing_waits;
     waits.emplace_back([state, event](bool good) {
         state->m_done = true;
         state->m_good = good;
@@ -342,14 +344,14 @@
     co_return state->m_good;
 }
 
-void turn_server::answer_when_synced(const std::shared_ptr<peer>& from,
-                                     std::uint64_t call, frame_body body)
+void turn_server::reply_when_synced(const std::shared_ptr<peer>& from,
+                                    std::uint64_t call, frame_body body)
 {
     frame value{call, m_own_view.m_epoch, frame_status::ok, std::move(body)};
     if (m_log.has_pending())
-        m_queued_answers.push_back({from->m_link, std::move(value)});
+        m_queued_replies.push_back({from->m_link, std::move(value)});
     else if (m_writing)
-        m_written_answers.push_back({from->m_link, std::move(value)});
+        m_writing_replies.push_back({from->m_link, std::move(value)});
     else
         from->m_link->send(value);
     commit();
@@ -361,8 +363,8 @@
         return;
     m_writing = true;
     m_writing_since = m_time.now();
-    m_written_answers = std::exchange(m_queued_answers, {});
-    m_written_waits = std::exchange(m_queued_waits, {});
+    m_writing_replies = std::exchange(m_queued_replies, {});
+    m_writing_waits = std::exchange(m_queued_waits, {});
     // Syncing blocks, so it has a thread of its own.
     asio::post(m_writer, [this, batches = m_log.take_pending()] {
         std::string reason;
@@ -386,14 +388,14 @@
         m_disk_good = false;
         LOG(ERROR) << "event=disk_failed reason=\"" << reason << '"';
     }
-    for (auto& row : std::exchange(m_written_answers, {}))
+    for (auto& row : std::exchange(m_writing_replies, {}))
     {
         // A view that changed meanwhile does not count this answer.
         if (!good)
-            row.m_answer.m_status = frame_status::failed;
-        row.m_link->send(row.m_answer);
+            row.m_reply.m_status = frame_status::failed;
+        row.m_link->send(row.m_reply);
     }
-    for (const auto& done : std::exchange(m_written_waits, {}))
+    for (const auto& done : std::exchange(m_writing_waits, {}))
         done(good);
     commit();
 }
--- a/src/turns/turn_store.cpp
+++ b/src/turns/turn_store.cpp
@@ -30,7 +30,7 @@
             std::string why;
             const auto entry = decode_entry(row.m_bytes, why);
             if (entry)
-                enter(*entry, row.m_position, now);
+                insert(*entry, row.m_position, now);
             else
                 ++unreadable;
             if (between && ++count % load_stretch == 0)
@@ -64,7 +64,7 @@
 void turn_store::append(const log_entry& entry, instant now)
 {
     if (!is_known(entry))
-        enter(entry, m_log.append(encode_entry(entry)), now);
+        insert(entry, m_log.append(encode_entry(entry)), now);
 }
 
 bool turn_store::append_encoded(const std::string& bytes, instant now,
@@ -74,7 +74,7 @@
     if (!entry)
         return false;
     if (!is_known(*entry))
-        enter(*entry, m_log.append(bytes), now);
+        insert(*entry, m_log.append(bytes), now);
     return true;
 }
 
@@ -93,31 +93,32 @@
     for (const auto& [program, row] : m_programs)
     {
         for (const auto& [attempt, held] : row.m_attempts)
-            out.push_back({row.m_retention_ms,
-                           reservation{program, attempt, held.m_tokens,
-                                       held.m_settled, held.m_place}});
+            out.push_back(
+                {row.m_retention_ms,
+                 reservation{program, attempt, held.m_tokens, held.m_settled,
+                             held.m_prompt_location}});
     }
     return out;
 }
 
-void turn_store::enter(const log_entry& entry, const log_position& position,
-                       instant now)
+void turn_store::insert(const log_entry& entry, const log_position& position,
+                        instant now)
 {
     if (const auto* row = std::get_if<reservation>(&entry.m_what))
     {
-        enter_reservation(*row, entry.m_retention_ms, position, now);
+        insert_reservation(*row, entry.m_retention_ms, position, now);
         return;
     }
     const auto& turn = std::get<turn_record>(entry.m_what);
     m_turns[key_of(turn.m_id)] = {position,
                                   now + milliseconds(entry.m_retention_ms)};
-    enter_reservation({turn.m_program, turn.m_attempt, turn.m_tokens, true},
-                      entry.m_retention_ms, position, now);
+    insert_reservation({turn.m_program, turn.m_attempt, turn.m_tokens, true},
+                       entry.m_retention_ms, position, now);
 }
 
-void turn_store::enter_reservation(const reservation& row,
-                                   std::uint32_t retention_ms,
-                                   const log_position& position, instant now)
+void turn_store::insert_reservation(const reservation& row,
+                                    std::uint32_t retention_ms,
+                                    const log_position& position, instant now)
 {
     auto& program = m_programs[row.m_program];
     program.m_retention_ms = std::max(program.m_retention_ms, retention_ms);
@@ -125,7 +126,7 @@
     auto& attempt = program.m_attempts[row.m_attempt];
     if (attempt.m_settled && !row.m_settled)
         return;
-    attempt = {row.m_tokens, row.m_settled, row.m_place, position};
+    attempt = {row.m_tokens, row.m_settled, row.m_prompt_location, position};
 }
 
 std::vector<reservation> turn_store::ledger_of(const id_key& program) const
@@ -136,8 +137,8 @@
         return out;
     out.reserve(found->second.m_attempts.size());
     for (const auto& [attempt, row] : found->second.m_attempts)
-        out.push_back(
-            {program, attempt, row.m_tokens, row.m_settled, row.m_place});
+        out.push_back({program, attempt, row.m_tokens, row.m_settled,
+                       row.m_prompt_location});
     return out;
 }
 
@@ -169,12 +170,12 @@
     return std::get<turn_record>(std::move(entry->m_what));
 }
 
-std::vector<turn_record> turn_store::chain(const std::string& id,
-                                           milliseconds retention, instant now)
+std::vector<turn_record>
+turn_store::history(const std::string& id, milliseconds retention, instant now)
 {
     std::vector<turn_record> out;
     std::string next = id;
-    while (!next.empty() && out.size() < max_chain_turns)
+    while (!next.empty() && out.size() < max_history_turns)
     {
         const auto found = m_turns.find(key_of(next));
         if (found == m_turns.end())
@@ -227,9 +228,10 @@
         for (const auto& [attempt, held] : row.m_attempts)
         {
             if (held.m_position.m_segment == oldest)
-                alive.push_back({row.m_retention_ms,
-                                 reservation{program, attempt, held.m_tokens,
-                                             held.m_settled, held.m_place}});
+                alive.push_back(
+                    {row.m_retention_ms,
+                     reservation{program, attempt, held.m_tokens,
+                                 held.m_settled, held.m_prompt_location}});
         }
     }
     if (!alive.empty())
@@ -237,7 +239,7 @@
         // Written again first; the segment goes at a later call, when the
         // copies have long been synced.
         for (const auto& entry : alive)
-            enter(entry, m_log.append(encode_entry(entry)), now);
+            insert(entry, m_log.append(encode_entry(entry)), now);
         return;
     }
     LOG(INFO) << "event=segment_removed segment=" << oldest;
--- a/src/turns/wire_rows.cpp
+++ b/src/turns/wire_rows.cpp
@@ -35,9 +35,9 @@
     fill(out.initAttempt(), row.m_attempt);
     out.setTokens(row.m_tokens);
     out.setSettled(row.m_settled);
-    out.setPromptPart(row.m_place.m_part);
-    out.setPromptTokens(row.m_place.m_tokens);
-    out.setPromptRunner(row.m_place.m_runner);
+    out.setPromptPart(row.m_prompt_location.m_part);
+    out.setPromptTokens(row.m_prompt_location.m_tokens);
+    out.setPromptRunner(row.m_prompt_location.m_runner);
 }
 
 reservation read(turns_wire::Reservation::Reader in)
--- a/test/cluster/test_reach_decisions.cpp
+++ b/test/cluster/test_reach_decisions.cpp
@@ -16,9 +16,9 @@
     return instant{} + milliseconds(1000000 + ms);
 }
 
-std::vector<neighbour> make_fleet(int zones, int vms)
+std::vector<relay_peer> make_fleet(int zones, int vms)
 {
-    std::vector<neighbour> out;
+    std::vector<relay_peer> out;
     for (int i = 0; i < vms; ++i)
     {
         const auto zone = std::string(1, static_cast<char>('a' + i % zones));
@@ -41,7 +41,7 @@
     struct row
     {
         const char* m_what;
-        std::vector<neighbour> m_candidates;
+        std::vector<relay_peer> m_candidates;
         std::size_t m_near;
         std::size_t m_far;
     };
@@ -60,14 +60,15 @@
     INFO(each.m_what);
     const auto chosen = choose_relay_peers(each.m_candidates, "edge-0", "a");
     const auto near =
-        std::count_if(chosen.begin(), chosen.end(), [](const neighbour& peer) {
+        std::count_if(chosen.begin(), chosen.end(), [](const relay_peer& peer) {
             return peer.m_availability_zone == "a";
         });
     CHECK(static_cast<std::size_t>(near) == each.m_near);
     CHECK(chosen.size() == each.m_near + each.m_far);
-    CHECK(std::none_of(chosen.begin(), chosen.end(), [](const neighbour& peer) {
-        return peer.m_name == "edge-0" || peer.m_address.empty();
-    }));
+    CHECK(
+        std::none_of(chosen.begin(), chosen.end(), [](const relay_peer& peer) {
+            return peer.m_name == "edge-0" || peer.m_address.empty();
+        }));
 }
 
 TEST_CASE("no VM is chosen by a large part of the fleet", "[reach]")
@@ -93,12 +94,12 @@
 {
     auto fleet = make_fleet(4, 76);
     const auto before = choose_relay_peers(fleet, "edge-0", "a");
-    std::erase_if(fleet, [&](const neighbour& peer) {
+    std::erase_if(fleet, [&](const relay_peer& peer) {
         return peer.m_name == before.front().m_name;
     });
     const auto after = choose_relay_peers(fleet, "edge-0", "a");
-    const auto kept =
-        std::count_if(before.begin(), before.end(), [&](const neighbour& peer) {
+    const auto kept = std::count_if(
+        before.begin(), before.end(), [&](const relay_peer& peer) {
             return std::find(after.begin(), after.end(), peer) != after.end();
         });
     CHECK(static_cast<std::size_t>(kept) == before.size() - 1);
@@ -216,19 +217,19 @@
         {begin_message{}, true},
         {append_message{}, true},
         {fetch_message{}, true},
-        {want_freshness_message{}, true},
-        {want_config_message{}, true},
+        {freshness_request_message{}, true},
+        {config_request_message{}, true},
         {quota_request{}, true},
         {returned_grant(), false},
         {placement_request{}, true},
         {placement_report{}, true},
         {hello_message{}, false},
         {cluster_state{}, false},
-        {beat_message{}, false},
+        {heartbeat_message{}, false},
         {list_message{}, false},
         {read_message{}, false},
         {copied_message{}, false},
-        {want_neighbours_message{}, false},
+        {relay_peers_request_message{}, false},
         {relayed_message{}, false},
         {quota_reply{}, false},
     }));
--- a/test/fleet/test_config_fetcher.cpp
+++ b/test/fleet/test_config_fetcher.cpp
@@ -61,7 +61,7 @@
     }
     void take(const frame& value)
     {
-        if (!std::holds_alternative<want_config_message>(value.m_body))
+        if (!std::holds_alternative<config_request_message>(value.m_body))
             return;
         m_last_call = value.m_call;
         if (++m_asked > m_deaf_to)
--- a/test/fleet/test_member_links.cpp
+++ b/test/fleet/test_member_links.cpp
@@ -42,7 +42,7 @@
         cluster_state news;
         news.m_config_revision = revision;
         news.m_config = "configuration " + std::to_string(revision);
-        m_server.take_state(news);
+        m_server.apply_state(news);
     }
     bool wait_for(const std::function<bool()>& done)
     {
@@ -121,7 +121,7 @@
     links.set_members(world.m_members);
     REQUIRE(world.wait_for([&] { return links.connected("vm-9"); }));
     world.sync();
-    world.m_server.send_beat(each.m_age, each.m_watches);
+    world.m_server.send_heartbeat(each.m_age, each.m_watches);
     world.sync();
     CHECK((links.store_last_seen() != instant{}) == each.m_heard);
     CHECK(links.watches_store("vm-9") == each.m_is_watcher);
@@ -220,7 +220,7 @@
     // A question brings its connection, and waits for it.
     int answers = 0;
     for (const char* name : {"vm-7", "vm-7", "vm-8"})
-        world.m_links.call(name, 0, want_neighbours_message{},
+        world.m_links.call(name, 0, relay_peers_request_message{},
                            [&](const std::optional<frame>& answer) {
                                answers += answer ? 1 : 0;
                            });
@@ -239,7 +239,7 @@
     bool ended = false;
     const auto ask = [&] {
         ended = false;
-        world.m_links.call("vm-7", 0, want_neighbours_message{},
+        world.m_links.call("vm-7", 0, relay_peers_request_message{},
                            [&](const std::optional<frame>& answer) {
                                ended = true;
                                CHECK_FALSE(answer);
@@ -261,7 +261,7 @@
     all.m_runners_revision = 10;
     for (int i = 0; i < 500; ++i)
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
-    world.m_server.take_state(all);
+    world.m_server.apply_state(all);
     const std::uint64_t known = GENERATE(0, 10);
     if (known > 0)
         merge_state(world.m_state, all);
@@ -270,7 +270,7 @@
     news.m_runners_since = 10;
     news.m_runners_revision = 12;
     news.m_runners = {{"r1", "new", 11}, {"r2", "", 12, true}};
-    world.m_server.take_state(news);
+    world.m_server.apply_state(news);
     world.m_links.set_members(world.m_members);
     REQUIRE(
         world.wait_for([&] { return world.m_state.m_runners_revision == 12; }));
@@ -288,7 +288,7 @@
     for (int i = 0; i < runners; ++i)
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
     all.m_views = {{.m_epoch = 3, .m_members = world.m_members}};
-    world.m_server.take_state(all);
+    world.m_server.apply_state(all);
     world.m_links.connect_seeds({world.m_members.front().m_address});
     REQUIRE(world.wait_for([&] { return !world.m_state.m_views.empty(); }));
     CHECK(world.m_entries <= 1000);
--- a/test/fleet/test_reach.cpp
+++ b/test/fleet/test_reach.cpp
@@ -25,7 +25,7 @@
 /// Makes storage VMs name \p who as a neighbour.
 struct announced
 {
-    announced(reach_world& fleet, const neighbour& who)
+    announced(reach_world& fleet, const relay_peer& who)
         : m_links(fleet.m_io, fleet.m_time, who.m_name)
     {
         m_links.advertise_relay(who.m_address, who.m_availability_zone);
@@ -309,7 +309,7 @@
             {5, 0, frame_status::ok,
              relayed_message{"vm-0", inner.substr(length_bytes)}});
     };
-    const auto usual = passed(want_freshness_message{});
+    const auto usual = passed(freshness_request_message{});
     const auto large = passed(append_message{
         {retention_ms,
          turn_record{
@@ -414,7 +414,7 @@
         },
         [](const std::string&) {});
     const auto question =
-        encode_frame({0, 0, frame_status::ok, want_freshness_message{}});
+        encode_frame({0, 0, frame_status::ok, freshness_request_message{}});
     constexpr int sent = 5;
     for (std::uint64_t call = 1; call <= sent; ++call)
         (*link)->send({call, 0, frame_status::ok,
--- a/test/fleet/test_replica_sets.cpp
+++ b/test/fleet/test_replica_sets.cpp
@@ -61,7 +61,7 @@
                                           "out-" + id + ';', "run",
                                           key_of(program), key_of(id), 30}};
         return run_task(m_io,
-                        m_client.keep(entry, m_time.now() + usual_patience))
+                        m_client.store(entry, m_time.now() + usual_patience))
             .value_or(false);
     }
     /// Of the VMs in a set, those that hold the turn.
@@ -79,7 +79,7 @@
             REQUIRE(answer->has_value());
             const auto* fetched =
                 std::get_if<fetched_message>(&(*answer)->m_body);
-            count += fetched != nullptr && !fetched->m_chain.empty() ? 1 : 0;
+            count += fetched != nullptr && !fetched->m_history.empty() ? 1 : 0;
         }
         return count;
     }
--- a/test/fleet/test_storage_vms.cpp
+++ b/test/fleet/test_storage_vms.cpp
@@ -152,7 +152,7 @@
                 return;
             if (const auto* fetched =
                     std::get_if<fetched_message>(&answer->m_body))
-                turns = fetched->m_chain.size();
+                turns = fetched->m_history.size();
         });
     REQUIRE(run_until(fleet.m_io, [&] { return done; }));
     CHECK(turns == 40);
@@ -205,7 +205,7 @@
     known.m_views = {{5,
                       {{"vm-9", "127.0.0.1:" + std::to_string(port), "z", 7,
                         member_state::full}}}};
-    server.take_state(known);
+    server.apply_state(known);
     member_links newcomer(fleet.m_io, fleet.m_time, "edge-2");
     cluster_state heard;
     newcomer.on_state([&](const std::string&, const cluster_state& news) {
--- a/test/support/fleet/reach_world.hpp
+++ b/test/support/fleet/reach_world.hpp
@@ -97,7 +97,7 @@
     {
         cut(false, false);
     }
-    [[nodiscard]] neighbour who() const
+    [[nodiscard]] relay_peer who() const
     {
         return {m_settings.m_name, m_settings.m_relay_address,
                 m_settings.m_availability_zone};
@@ -127,7 +127,7 @@
                                           key_of("program"), key_of(id), 30}};
         return run_task(
                    m_fleet.m_io,
-                   m_client.keep(entry, m_fleet.m_time.now() + usual_patience))
+                   m_client.store(entry, m_fleet.m_time.now() + usual_patience))
             .value_or(false);
     }
 
@@ -189,8 +189,8 @@
     fake_neighbour(const fake_neighbour&) = delete;
     fake_neighbour& operator=(const fake_neighbour&) = delete;
 
-    [[nodiscard]] neighbour who(const std::string& name,
-                                const std::string& zone) const
+    [[nodiscard]] relay_peer who(const std::string& name,
+                                 const std::string& zone) const
     {
         return {name, "127.0.0.1:" + std::to_string(m_port), zone};
     }
--- a/test/support/fleet/storage_world.hpp
+++ b/test/support/fleet/storage_world.hpp
@@ -198,14 +198,14 @@
                               turn_record{id, parent, "in-" + id + ';',
                                           "out-" + id + ';', "run",
                                           key_of("program"), key_of(id), 30}};
-        const auto kept =
-            run_task(m_io, m_client.keep(entry, m_time.now() + usual_patience));
+        const auto kept = run_task(
+            m_io, m_client.store(entry, m_time.now() + usual_patience));
         return kept.value_or(false);
     }
     static std::string text_of(const begin_result& result)
     {
         std::string out;
-        for (const auto& turn : result.m_chain)
+        for (const auto& turn : result.m_history)
             out += turn.m_input + turn.m_output;
         return out;
     }
--- a/test/turns/test_turn_store.cpp
+++ b/test/turns/test_turn_store.cpp
@@ -102,19 +102,19 @@
         CHECK(life.m_identity == 42);
         life.m_store.append(turn("a", ""), instant{});
         life.m_store.append(turn("b", "a"), instant{});
-        CHECK(ids_of(life.m_store.chain("b", milliseconds(0), instant{})) ==
+        CHECK(ids_of(life.m_store.history("b", milliseconds(0), instant{})) ==
               "ba");
         life.sync();
         life.m_store.append(turn("c", "b"), instant{});
-        CHECK(ids_of(life.m_store.chain("c", milliseconds(0), instant{})) ==
+        CHECK(ids_of(life.m_store.history("c", milliseconds(0), instant{})) ==
               "cba");
         life.sync();
-        CHECK(life.m_store.chain("x", milliseconds(0), instant{}).empty());
+        CHECK(life.m_store.history("x", milliseconds(0), instant{}).empty());
     }
     opened again(folder.path());
     CHECK(again.m_identity == 42);
     CHECK_FALSE(again.m_damaged);
-    const auto chain = again.m_store.chain("c", milliseconds(0), instant{});
+    const auto chain = again.m_store.history("c", milliseconds(0), instant{});
     CHECK(ids_of(chain) == "cba");
     CHECK(chain.front().m_input == "in-c");
     CHECK(chain.front().m_output == "out-c");
@@ -194,7 +194,7 @@
     life.m_store.append(turn("g", "f"), later);
     life.sync();
     // Reading a chain keeps all of it.
-    CHECK(ids_of(life.m_store.chain("g", milliseconds(1000), later)) == "gf");
+    CHECK(ids_of(life.m_store.history("g", milliseconds(1000), later)) == "gf");
     const auto before = life.m_log.segments().size();
     const auto end = instant{} + milliseconds(1100);
     for (int i = 0; i < 10; ++i)
@@ -203,7 +203,7 @@
         life.sync();
     }
     CHECK_FALSE(life.m_store.has_turn("a"));
-    CHECK(ids_of(life.m_store.chain("g", milliseconds(0), end)) == "gf");
+    CHECK(ids_of(life.m_store.history("g", milliseconds(0), end)) == "gf");
     CHECK(life.m_log.segments().size() < before);
 }
 
@@ -247,8 +247,8 @@
         RC_ASSERT(!copy.m_log.has_pending());
         RC_ASSERT(copy.m_store.turn_count() == life.m_store.turn_count());
         RC_ASSERT(
-            ids_of(copy.m_store.chain(last, milliseconds(0), instant{})) ==
-            ids_of(life.m_store.chain(last, milliseconds(0), instant{})));
+            ids_of(copy.m_store.history(last, milliseconds(0), instant{})) ==
+            ids_of(life.m_store.history(last, milliseconds(0), instant{})));
         std::map<id_key, reservation> left;
         std::map<id_key, reservation> right;
         for (const auto& row : life.m_store.ledger_of({1, 1}))
