--- a/include/pepperturn/turns/ledger.hpp
+++ b/include/pepperturn/turns/ledger.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Budgets of programs, decided from what several storage VMs know.
+/// Token budgets of programs, decided from the reservations that several
+/// storage VMs report.
 #pragma once
 
 #include "pepperturn/turns/records.hpp"
@@ -9,18 +10,18 @@
 
 namespace pepperturn {
 
-/// The reservations of one program as several members know them together.
+/// The reservations of one program, merged from several members, by attempt.
 using joint_ledger = std::map<id_key, reservation>;
 
-/// Adds what one member knows. A settled figure goes before a reserved one:
-/// settling comes later, and only from the VM that reserved.
+/// Merges the rows of one member. A settled count replaces a reserved one:
+/// settling happens later, and only by the VM that reserved.
 void join_ledger(joint_ledger& ledger, const std::vector<reservation>& rows);
 
-/// Tokens that all attempts but \p own have had or may still have.
+/// Tokens that all attempts except \p own have used or have reserved.
 [[nodiscard]] std::uint64_t committed_tokens(const joint_ledger& ledger,
                                              const id_key& own);
 
-/// \param budget tokens that the whole program may have
+/// \param budget maximum tokens of the whole program
 [[nodiscard]] bool fits_budget(const joint_ledger& ledger,
                                const reservation& own, std::uint64_t budget);
 
--- a/include/pepperturn/turns/messages.hpp
+++ b/include/pepperturn/turns/messages.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Frames between edge and storage VMs, and their Cap'n Proto form.
+/// Frames exchanged by edge and storage VMs, and their Cap'n Proto encoding.
 #pragma once
 
 #include "pepperturn/cluster/state.hpp"
@@ -17,39 +17,40 @@
 enum class frame_status : std::uint8_t
 {
     ok,
-    /// The sender's view is older than the receiver's, or the reverse.
+    /// The views of sender and receiver have different epochs.
     stale,
-    /// The receiver's disk is not in the view.
+    /// The receiver's disk is not in the view, or takes no writes there.
     not_member,
-    /// The disk cannot be written.
+    /// The receiver cannot serve the request: its disk is not loaded or cannot
+    /// be written, or it has not gathered what the request needs.
     failed
 };
 
 [[nodiscard]] const char* to_string(frame_status status);
 
-/// First frame on a connection, and again if what the sender wants changes.
+/// First frame on a connection; sent again when the subscription changes.
 struct hello_message
 {
     std::string m_name;
-    /// Every change of the world is to be told on this connection, and all
-    /// that is known first.
+    /// Requests the full cluster state, then every change, on this connection.
     bool m_subscribes = true;
-    /// IP:PORT where it passes on what others ask; empty: it does not.
+    /// IP:PORT where the sender relays requests of other VMs; empty: it does
+    /// not.
     std::string m_relay_address = {};
     std::string m_availability_zone = {};
-    /// It knows all runners up to this revision; 0: none.
+    /// The sender has all runners up to this revision; 0: none.
     std::uint64_t m_known_runners = 0;
-    /// It knows no members yet, and looks for them.
+    /// The sender knows no members yet and is looking for them.
     bool m_seeks_members = false;
     friend bool operator==(const hello_message&,
                            const hello_message&) = default;
 };
 
-/// Sent now and then by storage VMs.
+/// Heartbeat of a storage VM.
 struct heartbeat_message
 {
-    /// Milliseconds since the platform's store was last heard, by the sender
-    /// or by a VM that tells it.
+    /// Milliseconds since the platform's store last reported, to the sender or
+    /// to a VM that sends it updates.
     std::uint32_t m_store_age_ms = 0;
     /// The sender watches the store itself.
     bool m_watches = true;
@@ -57,30 +58,32 @@
                            const heartbeat_message&) = default;
 };
 
-/// Sets tokens aside and looks a parent up.
+/// Reserves tokens and looks up the parent turn.
 struct begin_message
 {
     reservation m_reservation;
     std::uint32_t m_retention_ms = 0;
-    /// Empty: the first turn of its line.
+    /// Empty: the first turn of its history.
     std::string m_parent;
-    /// The records of the chain are wanted, not only whether it is there.
+    /// Requests the records of the history, not only whether the parent exists.
     bool m_want_history = false;
     friend bool operator==(const begin_message&,
                            const begin_message&) = default;
 };
 
+/// Reply to a begin_message.
 struct begun_message
 {
-    /// Every reservation of the program that the member knows.
+    /// Every reservation of the program that the member stores.
     std::vector<reservation> m_ledger;
     bool m_parent_found = false;
-    /// Newest first, as far back as this member knows.
+    /// Newest first, as far back as this member stores it.
     std::vector<turn_record> m_history;
     friend bool operator==(const begun_message&,
                            const begun_message&) = default;
 };
 
+/// Appends an entry to the log.
 struct append_message
 {
     log_entry m_entry;
@@ -88,39 +91,43 @@
                            const append_message&) = default;
 };
 
+/// Reply without content; an entry that was sent is synced.
 struct appended_message
 {
     friend bool operator==(const appended_message&,
                            const appended_message&) = default;
 };
 
-/// Asks for a turn and those before it.
+/// Requests a turn and its ancestors.
 struct fetch_message
 {
     std::string m_turn;
-    /// They are kept for this much longer.
+    /// Their retention is extended to this long from now.
     std::uint32_t m_retention_ms = 0;
     friend bool operator==(const fetch_message&,
                            const fetch_message&) = default;
 };
 
+/// Reply to a fetch_message.
 struct fetched_message
 {
+    /// Newest first; empty: the member does not store the turn.
     std::vector<turn_record> m_history;
     friend bool operator==(const fetched_message&,
                            const fetched_message&) = default;
 };
 
-/// Asks what a member holds, page by page.
+/// Requests a listing of what a member stores, page by page.
 struct list_message
 {
-    /// Row to go on from; 0 begins a new listing.
+    /// First row of the page; 0 begins a new listing.
     std::uint64_t m_from = 0;
-    /// Only if the member has gathered what all others hold.
+    /// Fails unless the member has gathered what all others store.
     bool m_gathered = false;
     friend bool operator==(const list_message&, const list_message&) = default;
 };
 
+/// Reply to a list_message.
 struct listed_message
 {
     std::uint64_t m_next = 0;
@@ -131,36 +138,37 @@
                            const listed_message&) = default;
 };
 
-/// Asks for log entries by their packed positions.
+/// Requests log entries by their packed positions.
 struct read_message
 {
     std::vector<std::uint64_t> m_positions;
     friend bool operator==(const read_message&, const read_message&) = default;
 };
 
+/// Reply to a read_message.
 struct entries_message
 {
-    /// As they stand in the log; what cannot be read is left out.
+    /// Encoded as in the log; unreadable entries are left out.
     std::vector<std::string> m_entries;
     friend bool operator==(const entries_message&,
                            const entries_message&) = default;
 };
 
-/// Tells a member that the sender has synced all that it listed.
+/// Reports that the sender has synced everything that the receiver listed.
 struct copied_message
 {
     friend bool operator==(const copied_message&,
                            const copied_message&) = default;
 };
 
-/// Asks for the configuration whole; answered with a cluster_state.
+/// Requests the complete configuration; the reply is a cluster_state.
 struct config_request_message
 {
     friend bool operator==(const config_request_message&,
                            const config_request_message&) = default;
 };
 
-/// Asks how fresh what the receiver knows is; answered with a
+/// Requests the age of the receiver's cluster state; the reply is a
 /// freshness_message.
 struct freshness_request_message
 {
@@ -168,15 +176,15 @@
                            const freshness_request_message&) = default;
 };
 
-/// Asks a storage VM for edge VMs that hear it; answered with a
-/// neighbours_message.
+/// Requests, of a storage VM, edge VMs that are connected to it; the reply is a
+/// relay_peers_message.
 struct relay_peers_request_message
 {
     friend bool operator==(const relay_peers_request_message&,
                            const relay_peers_request_message&) = default;
 };
 
-/// An edge VM that passes on what others ask.
+/// An edge VM that relays requests of other edge VMs.
 struct relay_peer
 {
     std::string m_name;
@@ -193,13 +201,12 @@
                            const relay_peers_message&) = default;
 };
 
-/// A question to a storage VM that goes through another edge VM, and the
-/// answer to it.
+/// A request to a storage VM that is relayed by another edge VM, or its reply.
 struct relayed_message
 {
-    /// The storage VM's name.
+    /// Name of the storage VM.
     std::string m_member;
-    /// The frame that is passed on, without its length.
+    /// The relayed frame, without its length prefix.
     std::string m_frame;
     friend bool operator==(const relayed_message&,
                            const relayed_message&) = default;
@@ -217,7 +224,7 @@
 
 struct frame
 {
-    /// Matches an answer with its question; 0: a notice.
+    /// Matches a reply with its request; 0: a notification.
     std::uint64_t m_call = 0;
     /// Epoch of the sender's view.
     std::uint64_t m_epoch = 0;
@@ -227,13 +234,13 @@
     friend bool operator==(const frame&, const frame&) = default;
 };
 
-/// Largest frame that is read, in bytes: a chain of 100 turns of 31 KB with
-/// room to spare.
+/// Largest frame that is accepted, in bytes: a history of 100 turns of 31 KB
+/// fits with a wide margin.
 constexpr std::size_t max_frame_bytes = 16U << 20U;
 
-/// The frame with its 4-byte little-endian length in front.
+/// The frame, prefixed with its length in 4 bytes, little-endian.
 [[nodiscard]] std::string encode_frame(const frame& value);
-/// \param bytes the frame without its length
+/// \param bytes the frame without its length prefix
 [[nodiscard]] std::optional<frame> decode_frame(std::string_view bytes,
                                                 std::string& reason);
 
--- a/include/pepperturn/turns/records.hpp
+++ b/include/pepperturn/turns/records.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What storage VMs keep: turns, written once, and the token reservations of
-/// programs.
+/// Records that storage VMs store: immutable turns, and the token reservations
+/// of programs.
 #pragma once
 
 #include "pepperturn/scheduling/prompt_home.hpp"
@@ -14,7 +14,7 @@
 
 namespace pepperturn {
 
-/// 128-bit hash of a caller's id; ids themselves may be of any length.
+/// 128-bit hash of a caller's id, which may be of any length.
 struct id_key
 {
     std::uint64_t m_high = 0;
@@ -35,41 +35,41 @@
     }
 };
 
-/// Tokens set aside for one attempt of a turn, or, once settled, handed out.
+/// Tokens reserved for one attempt of a turn or, once settled, delivered by it.
 struct reservation
 {
     id_key m_program;
     id_key m_attempt;
     std::uint32_t m_tokens = 0;
     bool m_settled = false;
-    /// Once settled: where a turn that goes on from this one finds its prompt
-    /// read already.
+    /// Once settled: the runner whose cache holds the prompt for a turn that
+    /// continues from this one.
     prompt_location m_prompt_location = {};
 
     friend bool operator==(const reservation&, const reservation&) = default;
 };
 
-/// One turn that was answered whole. Immutable.
+/// One turn whose response was complete. Immutable.
 struct turn_record
 {
-    /// The id of the request that was answered.
+    /// Id of the request.
     std::string m_id;
-    /// The turn it goes on from; empty: none.
+    /// The turn that it continues from; empty: none.
     std::string m_parent;
     std::string m_input;
-    /// Data of each event, each with a line feed behind.
+    /// Data of each event, each followed by a line feed.
     std::string m_output;
-    /// Where its prefix is cached.
+    /// The runner that has its prefix cached.
     std::string m_runner;
     id_key m_program;
     id_key m_attempt;
-    /// Tokens handed out; settles the reservation.
+    /// Tokens delivered; settles the reservation.
     std::uint32_t m_tokens = 0;
 
     friend bool operator==(const turn_record&, const turn_record&) = default;
 };
 
-/// Where a storage VM's log has a turn.
+/// Position of a turn in a storage VM's log.
 struct located_turn
 {
     id_key m_key;
@@ -79,7 +79,7 @@
     friend bool operator==(const located_turn&, const located_turn&) = default;
 };
 
-/// A reservation with the time that it is kept, as one VM tells another.
+/// A reservation and its retention time, as one VM lists it for another.
 struct kept_reservation
 {
     std::uint32_t m_retention_ms = 0;
--- a/include/pepperturn/turns/turn_log.hpp
+++ b/include/pepperturn/turns/turn_log.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Append-only log on a local disk, in segments. Each entry stands behind its
-/// length and a checksum. Appending only queues; a batch is written and synced
-/// by one call, which may run on another thread.
+/// Append-only log on a local disk, in segments. Each entry is preceded by its
+/// length and a checksum. Appending only queues an entry; a batch is written
+/// and synced by one call, which may run on another thread.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace pepperturn {
 
-/// Where an entry stands. Positions only grow.
+/// Position of an entry. Positions only grow.
 struct log_position
 {
     std::uint32_t m_segment = 0;
@@ -46,14 +46,14 @@
 class turn_log
 {
 public:
-    /// \param segment_bytes a new segment is begun once one is this large
+    /// \param segment_bytes size in bytes at which a new segment is begun
     turn_log(std::string folder, std::uint32_t segment_bytes);
     ~turn_log();
     turn_log(const turn_log&) = delete;
     turn_log& operator=(const turn_log&) = delete;
 
-    /// Identity of this disk: read, or drawn and synced on first use.
-    /// \param fresh what to write if there is none yet
+    /// Identity of this disk: read from it, or written and synced on first use.
+    /// \param fresh identity to write if there is none yet
     [[nodiscard]] std::optional<std::uint64_t> identity(std::uint64_t fresh,
                                                         std::string& reason);
     /// Gives the disk a new identity, after its content proved damaged.
@@ -63,30 +63,31 @@
     [[nodiscard]] bool write_file(const std::string& name,
                                   const std::string& bytes,
                                   std::string& reason);
-    /// Empty: it is not there or cannot be read.
+    /// Empty if the file does not exist or cannot be read.
     [[nodiscard]] std::string read_file(const std::string& name) const;
 
-    /// Reads every whole entry in order and cuts a torn tail off.
+    /// Reads every complete entry in order and truncates a torn tail.
     /// \param damaged set if entries before the tail cannot be read
     [[nodiscard]] bool
     load(const std::function<void(const loaded_entry&)>& take, bool& damaged,
          std::string& reason);
 
-    /// Queues an entry. It is readable at once and lasts after write_batches.
+    /// Queues an entry. It can be read at once, and is durable after
+    /// write_batches.
     [[nodiscard]] log_position append(std::string_view bytes);
     [[nodiscard]] bool has_pending() const;
-    /// Takes what is queued, to be written by write_batches.
+    /// Removes and returns the queued batches, for write_batches.
     [[nodiscard]] std::vector<log_batch> take_pending();
     /// Writes and syncs. Blocks; may run on another thread, one at a time.
     [[nodiscard]] bool write_batches(const std::vector<log_batch>& batches,
                                      std::string& reason);
-    /// Forgets the copies in memory of what write_batches wrote.
+    /// Releases the copies in memory of what write_batches wrote.
     void written(const std::vector<log_batch>& batches);
 
     /// The entry at \p position; empty if it cannot be read.
     [[nodiscard]] std::optional<std::string>
     read(const log_position& position) const;
-    /// First position of a segment that is still written to.
+    /// The segment that is still written to.
     [[nodiscard]] std::uint32_t current_segment() const
     {
         return m_current;
@@ -110,14 +111,14 @@
     std::uint32_t m_segment_bytes;
     std::uint32_t m_current = 1;
     std::uint32_t m_end = 0;
-    /// Bytes that are not yet known to be on disk, by segment and offset.
+    /// Bytes that are not yet synced, by segment and offset.
     std::map<log_position, std::string> m_unwritten;
     std::vector<log_batch> m_pending;
     /// Bytes on disk of each segment.
     std::map<std::uint32_t, std::uint32_t> m_on_disk;
-    /// Open files; the writer's thread adds to it.
+    /// Guards m_files, to which the writer's thread adds.
     mutable std::mutex m_files_mutex;
-    /// Small files are replaced one at a time.
+    /// Serializes the replacement of small files.
     std::mutex m_replace_mutex;
     std::map<std::uint32_t, int> m_files;
 };
--- a/include/pepperturn/turns/turn_server.hpp
+++ b/include/pepperturn/turns/turn_server.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The frame interface of a storage VM: answers edge VMs and other storage
-/// VMs from its turn store, and tells them what it knows of the world.
+/// The frame interface of a storage VM: serves requests of edge VMs and other
+/// storage VMs from its turn store, and sends them the cluster state.
 #pragma once
 
 #include "pepperturn/base/latency_histogram.hpp"
@@ -23,31 +23,32 @@
     [[nodiscard]] bool listen(const tcp::endpoint& at, std::string& reason);
     void stop();
 
-    /// What the disk holds is loaded: from now on it counts. Until then only
-    /// what is known of the world is told.
+    /// Begins to serve turns, once the disk is loaded. Until then only the
+    /// cluster state is served.
     /// \param disk identity of the disk
     void open(std::uint64_t disk);
 
-    /// Takes up what was known when the process last ran.
+    /// Restores the cluster state that was saved when the process last ran.
     void load_state();
-    /// Writes what is known to the disk if it has changed, on the writer's
+    /// Writes the cluster state to the disk if it has changed, on the writer's
     /// thread.
     void save_state();
 
-    /// Nobody owns anything by older views than the ones known.
+    /// Records that no VM owns anything by views older than the known ones.
     void mark_settled();
-    /// Merges what is newer and passes it on; \p on_change comes after each.
-    void apply_state(const cluster_state& news);
+    /// Merges newer state and sends the change to subscribers; the handler of
+    /// on_change is called after each.
+    void apply_state(const cluster_state& update);
     void on_change(std::function<void(const state_change&)> handler);
-    /// Sends the answer to a question, at once or later; of no effect if the
-    /// asker is gone.
+    /// Sends the reply to a request, at once or later; no effect if the
+    /// requester has disconnected.
     using reply_sender = std::function<void(frame_body)>;
-    /// Takes questions and notices that are not about turns, whatever the
-    /// asker's view is; false: it is none of these.
+    /// Handles requests and notifications that are not about turns, whatever
+    /// the requester's view is; false: it is none of these.
     using request_handler =
-        std::function<bool(std::uint64_t asker, const frame_body& body,
-                           const reply_sender& answer)>;
-    /// \param handler takes the number of the asker's connection first
+        std::function<bool(std::uint64_t requester, const frame_body& body,
+                           const reply_sender& send)>;
+    /// \param handler takes the number of the requester's connection first
     void on_request(request_handler handler);
     /// Called with the number of each connection that has ended.
     void on_disconnect(std::function<void(std::uint64_t)> handler);
@@ -61,23 +62,24 @@
     {
         return m_own_view;
     }
-    /// Tells every connected VM that the platform's store was heard
-    /// \p store_age ago.
+    /// Reports to every connected VM that the platform's store was last
+    /// reachable \p store_age ago.
     /// \param watches this VM watches the store itself
     void send_heartbeat(milliseconds store_age, bool watches);
 
-    /// Enters what another member holds.
+    /// Inserts entries that another member stores.
     void add_reservations(const std::vector<kept_reservation>& rows);
     void add_encoded(const std::vector<std::string>& entries);
-    /// Waits until all that was entered so far is synced; false: it is not.
+    /// Waits until all entries inserted so far are synced; false: a write
+    /// failed.
     [[nodiscard]] task<bool> synced();
 
-    /// This member holds by now what all others had at \p epoch.
+    /// Records that this member now stores what all others had at \p epoch.
     void mark_gathered(std::uint64_t epoch);
 
-    /// Members that hold everything this one had at \p epoch.
+    /// Members that store everything this one had at \p epoch.
     [[nodiscard]] std::set<std::string> copied_by(std::uint64_t epoch) const;
-    /// Appends counters and latencies, a line each.
+    /// Appends counters and latencies, one line each.
     void write_metrics(std::string& out) const;
     /// False once the disk refused a write.
     [[nodiscard]] bool disk_good() const
@@ -86,7 +88,7 @@
     }
 
 private:
-    /// What was held at some time in an epoch.
+    /// Snapshot of what was stored at some time in an epoch.
     struct holdings
     {
         std::uint64_t m_epoch = 0;
@@ -95,18 +97,18 @@
     };
     struct peer
     {
-        /// Of the connection; no two have the same.
+        /// Unique number of the connection.
         std::uint64_t m_number = 0;
         std::string m_name;
         std::shared_ptr<frame_link> m_link;
-        /// Where it passes on what others ask, if it does.
+        /// Its relay address, empty if it does not relay.
         relay_peer m_relay;
-        /// It wants to be told every change.
+        /// Receives every change of the cluster state.
         bool m_subscribed = false;
-        /// What it is being told, if it copies.
+        /// The listing that it is paging through, if it copies.
         std::shared_ptr<const holdings> m_holdings;
     };
-    /// What listeners are told that come, encoded once.
+    /// The update for new subscribers, encoded once.
     struct encoded_update
     {
         std::uint64_t m_changes = 0;
@@ -121,14 +123,15 @@
     };
 
     [[nodiscard]] std::shared_ptr<const holdings> list_holdings();
-    /// Writes what is known before anything is done under a new own view.
+    /// Writes the cluster state before anything is done under a new own view.
     void save_own_view();
     void handle_hello(const std::shared_ptr<peer>& from,
                       const hello_message& hello);
-    /// Connected edge VMs that may stand in for the link of \p asker.
-    [[nodiscard]] relay_peers_message relay_peers_for(const peer& asker) const;
-    /// Tells a listener what it lacks.
-    /// \param known revision up to which it knows all runners
+    /// Connected edge VMs that can relay requests of \p requester.
+    [[nodiscard]] relay_peers_message
+    relay_peers_for(const peer& requester) const;
+    /// Sends a subscriber the state that it lacks.
+    /// \param known revision up to which it has all runners
     void send_full_update(const peer& to, std::uint64_t known);
     void send_change(const state_change& change);
     task<> accept_links();
@@ -136,11 +139,11 @@
     void handle_frame(const std::shared_ptr<peer>& from, frame value);
     [[nodiscard]] frame_status check(const frame& value) const;
     void handle_begin(const std::shared_ptr<peer>& from, std::uint64_t call,
-                      const begin_message& question);
+                      const begin_message& request);
     void handle_list(const std::shared_ptr<peer>& from, std::uint64_t call,
-                     const list_message& question);
+                     const list_message& request);
     void handle_read(const std::shared_ptr<peer>& from, std::uint64_t call,
-                     const read_message& question);
+                     const read_message& request);
     void send_reply(const std::shared_ptr<peer>& from, std::uint64_t call,
                     frame_status status, frame_body body);
     void reply_when_synced(const std::shared_ptr<peer>& from,
@@ -165,7 +168,8 @@
     std::function<void(std::uint64_t)> m_on_disconnect;
     std::uint64_t m_last_number = 0;
     std::set<std::shared_ptr<peer>> m_peers;
-    /// Answers for what is queued, and for what is being written.
+    /// Replies that wait for entries that are queued, and for entries that are
+    /// being written.
     std::vector<pending_reply> m_queued_replies;
     std::vector<pending_reply> m_writing_replies;
     std::vector<std::function<void(bool)>> m_queued_waits;
@@ -173,19 +177,19 @@
     bool m_writing = false;
     instant m_writing_since{};
     latency_histogram m_syncs;
-    /// Questions by the status of their answer.
+    /// Number of requests by the status of their reply.
     std::map<frame_status, std::uint64_t> m_reply_counts;
-    /// Changes of the state so far.
+    /// Number of changes of the state so far.
     std::uint64_t m_changes = 0;
     std::optional<encoded_update> m_full_update;
-    /// Revision of the runners that all listeners know.
+    /// Revision of the runners that all subscribers have been sent.
     std::uint64_t m_sent_runners_revision = 0;
     std::uint64_t m_update_bytes = 0;
     bool m_state_saved = true;
     bool m_disk_good = true;
     std::map<std::string, std::uint64_t> m_copied_at;
     std::uint64_t m_gathered_at = 0;
-    /// Shared by all that copy at the same time.
+    /// Shared by all members that copy at the same time.
     std::weak_ptr<const holdings> m_holdings;
 };
 
--- a/include/pepperturn/turns/turn_store.hpp
+++ b/include/pepperturn/turns/turn_store.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The turns and reservations that one storage VM holds: tables in memory
+/// The turns and reservations that one storage VM stores: tables in memory
 /// that point into its log.
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace pepperturn {
 
-/// Turns that one chain may have; a longer one is not followed further.
+/// Maximum turns of a history that are read in one call.
 constexpr std::size_t max_history_turns = 1024;
 
 class turn_store
@@ -20,20 +20,20 @@
 public:
     explicit turn_store(turn_log& log);
 
-    /// Reads the log. Retention starts anew for all of it, since the time
-    /// that has passed while the process was down is unknown.
+    /// Reads the log. Retention starts again for every entry, since the time
+    /// for which the process was down is unknown.
     /// \param damaged set if acknowledged entries may be missing
-    /// \param between called now and then, for whoever reads beside other
-    /// work
+    /// \param between called at regular intervals, so that a caller can do
+    /// other work in between
     [[nodiscard]] bool load(instant now, bool& damaged, std::string& reason,
                             const std::function<void()>& between = {});
 
-    /// Queues an entry for the log and enters it. Repeating one is harmless;
-    /// a settled reservation is never set back.
+    /// Queues an entry for the log and inserts it. Idempotent; a settled
+    /// reservation never becomes unsettled.
     void append(const log_entry& entry, instant now);
 
-    /// The same for an entry as it stands in another log; false with
-    /// \p reason set if it is none.
+    /// As append, for an encoded entry of another log; false with \p reason set
+    /// if it cannot be decoded.
     bool append_encoded(const std::string& bytes, instant now,
                         std::string& reason);
 
@@ -41,15 +41,15 @@
     ledger_of(const id_key& program) const;
     [[nodiscard]] bool has_turn(const std::string& id) const;
     [[nodiscard]] bool has_turn(const id_key& key) const;
-    /// Everything that is held, for a member that copies.
+    /// Everything that is stored, for a member that copies it.
     [[nodiscard]] std::vector<located_turn> list_turns() const;
     [[nodiscard]] std::vector<kept_reservation> list_reservations() const;
-    /// The turn and those before it, newest first, as far as this store
-    /// knows them; keeps them for another \p retention.
+    /// The turn and its ancestors, newest first, as far as this store has
+    /// them; extends their retention to \p retention from \p now.
     [[nodiscard]] std::vector<turn_record>
     history(const std::string& id, milliseconds retention, instant now);
 
-    /// Forgets what is past its retention and gives disk space back.
+    /// Removes what is past its retention and reclaims disk space.
     void expire(instant now);
 
     [[nodiscard]] std::size_t turn_count() const
--- a/src/turns/turn_round.hpp
+++ b/src/turns/turn_round.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// One question of a turn_client, shared by the files that implement it.
+/// One quorum request of a turn_client, shared by the files that implement it.
 #pragma once
 
 #include "pepperturn/turns/turn_client.hpp"
@@ -9,8 +9,8 @@
 
 namespace pepperturn {
 
-/// One question to the members of a replica set, repeated until enough have
-/// answered.
+/// One request to the members of a replica set, repeated until enough have
+/// replied.
 struct turn_client::round
 {
     struct row
@@ -25,11 +25,11 @@
 
     id_key m_program;
     frame_body m_body;
-    /// The one member that is asked for the chain as well.
+    /// The one member that is requested to send the history as well.
     std::string m_history_member;
-    /// Spreads the members that are asked first.
+    /// Spreads load over the members that receive the request first.
     std::uint64_t m_random_tiebreak = 0;
-    /// From then on every member is asked.
+    /// From then on the request is sent to every member.
     instant m_request_all_at{};
     std::uint64_t m_epoch = 0;
     std::map<std::string, row> m_rows;
@@ -51,8 +51,8 @@
     [[nodiscard]] bool parent_found() const
     {
         return std::any_of(m_rows.begin(), m_rows.end(), [&](const auto& row) {
-            const auto* answer = begun(row.first);
-            return answer != nullptr && answer->m_parent_found;
+            const auto* reply = begun(row.first);
+            return reply != nullptr && reply->m_parent_found;
         });
     }
 };
--- a/src/turns/wire_rows.hpp
+++ b/src/turns/wire_rows.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Rows that several kinds of frames hold, and their Cap'n Proto form.
+// Rows that several kinds of frames share, and their Cap'n Proto encoding.
 #pragma once
 
 #include "pepperturn/turns/messages.hpp"
