--- a/src/turns/messages.cpp
+++ b/src/turns/messages.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t second_hash_seed = 0x9e3779b97f4a7c15ULL;
 constexpr std::size_t length_bytes = 4;
 
-/// Writes each kind of body into its member of the union.
+/// Writes each kind of body to its member of the union.
 struct body_writer
 {
     turns_wire::Frame::Builder m_out;
@@ -220,7 +220,8 @@
     }
 };
 
-/// What a newer VM may say counts as \p unknown, the last value known here.
+/// Reads a value that a newer VM may have added as \p unknown, the last value
+/// known here.
 template <class Enum> Enum read_enum(std::uint8_t value, Enum unknown)
 {
     return static_cast<Enum>(
@@ -266,7 +267,7 @@
     return out;
 }
 
-quota_request read_question(turns_wire::QuotaQuestion::Reader in)
+quota_request read_quota_request(turns_wire::QuotaQuestion::Reader in)
 {
     return {in.getWorkspace(),      {in.getRatePerS(), in.getBurst()},
             in.getConfigRevision(), in.getProgram(),
@@ -275,9 +276,9 @@
             in.getExact()};
 }
 
-quota_reply read_answer(turns_wire::QuotaAnswer::Reader in)
+quota_reply read_quota_reply(turns_wire::QuotaAnswer::Reader in)
 {
-    // What is not known here grants nothing.
+    // An unknown outcome grants nothing.
     return {read_enum(in.getOutcome(), quota_outcome::not_owner),
             in.getRetryMs(), in.getPlace()};
 }
@@ -290,7 +291,7 @@
 }
 
 relay_peers_message
-read_neighbours(capnp::List<turns_wire::Neighbour>::Reader in)
+read_relay_peers(capnp::List<turns_wire::Neighbour>::Reader in)
 {
     relay_peers_message out;
     for (const auto row : in)
@@ -300,7 +301,7 @@
     return out;
 }
 
-placement_request read_place_question(turns_wire::PlaceQuestion::Reader in)
+placement_request read_placement_request(turns_wire::PlaceQuestion::Reader in)
 {
     placement_request out;
     out.m_service = in.getService();
@@ -324,7 +325,7 @@
     return out;
 }
 
-placement_reply read_place_answer(turns_wire::PlaceAnswer::Reader in)
+placement_reply read_placement_reply(turns_wire::PlaceAnswer::Reader in)
 {
     return {read_enum(in.getOutcome(), placement_outcome::not_placing),
             in.getRunner(),
@@ -334,7 +335,7 @@
             in.getRetryMs()};
 }
 
-placement_report read_place_report(turns_wire::PlaceReport::Reader in)
+placement_report read_placement_report(turns_wire::PlaceReport::Reader in)
 {
     return {in.getService(),     in.getCall(),
             in.getRunner(),      read_enum(in.getEnd(), placement_end::not_run),
@@ -386,27 +387,27 @@
                                  in.getFreshness().getConfigAgeMs(),
                                  in.getFreshness().getViewsAgeMs()};
     case kind::QUOTA_QUESTION:
-        return read_question(in.getQuotaQuestion());
+        return read_quota_request(in.getQuotaQuestion());
     case kind::QUOTA_ANSWER:
-        return read_answer(in.getQuotaAnswer());
+        return read_quota_reply(in.getQuotaAnswer());
     case kind::WANT_NEIGHBOURS:
         return relay_peers_request_message{};
     case kind::NEIGHBOURS:
-        return read_neighbours(in.getNeighbours());
+        return read_relay_peers(in.getNeighbours());
     case kind::RELAYED:
         return relayed_message{text_of(in.getRelayed().getMember()),
                                data_of(in.getRelayed().getFrame())};
     case kind::PLACE_QUESTION:
-        return read_place_question(in.getPlaceQuestion());
+        return read_placement_request(in.getPlaceQuestion());
     case kind::PLACE_ANSWER:
-        return read_place_answer(in.getPlaceAnswer());
+        return read_placement_reply(in.getPlaceAnswer());
     case kind::PLACE_REPORT:
-        return read_place_report(in.getPlaceReport());
+        return read_placement_report(in.getPlaceReport());
     }
     return std::nullopt;
 }
 
-/// Bytes copied to where words may be read.
+/// Copies the bytes to memory that is aligned for words.
 kj::Array<capnp::word> aligned(std::string_view bytes)
 {
     auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
@@ -421,15 +422,16 @@
     return options;
 }
 
-/// Runs \p decode over the message in \p bytes; the library reports by
-/// exception, ours are values.
+/// Runs \p decode over the message in \p bytes. Converts the exceptions of the
+/// library to an empty result and \p reason.
 template <class Root, class Decode>
 auto decode_message(std::string_view bytes, std::string& reason, Decode decode)
     -> decltype(decode(std::declval<typename Root::Reader>()))
 {
     if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
     {
-        reason = "length " + std::to_string(bytes.size()) + " is not of words";
+        reason = "length " + std::to_string(bytes.size()) +
+                 " is not a multiple of 8 bytes";
         return std::nullopt;
     }
     try
--- a/src/turns/turn_client.cpp
+++ b/src/turns/turn_client.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// How often members that have not answered are tried again.
+/// Interval at which the request is repeated to members that have not replied.
 constexpr milliseconds retry_interval{60};
-/// How long the nearest member may be later with a chain than the quorum.
-constexpr milliseconds chain_patience{30};
-/// Members beyond a quorum are asked only if it has not answered by then:
-/// several times what it usually takes.
-constexpr milliseconds quorum_patience{25};
-/// Without a word of any member for this long after it was asked, this VM is
-/// cut off: they send beats twice a second, and the next VM may hear them.
-constexpr milliseconds cut_off_patience{800};
+/// How much later than the quorum the nearest member may send the history.
+constexpr milliseconds history_timeout{30};
+/// Members beyond a quorum are sent the request only if the quorum has not
+/// replied by then: several times its usual latency.
+constexpr milliseconds quorum_timeout{25};
+/// If no member has sent anything for this long after the request, this VM is
+/// treated as partitioned: members send heartbeats twice a second, and another
+/// VM may reach them.
+constexpr milliseconds partition_timeout{800};
 
 } // namespace
 
@@ -67,26 +68,26 @@
     });
 }
 
-bool turn_client::partitioned_since(instant asked) const
+bool turn_client::partitioned_since(instant sent_at) const
 {
-    if (m_time.now() - asked < cut_off_patience)
+    if (m_time.now() - sent_at < partition_timeout)
         return false;
     return std::none_of(m_sets.begin(), m_sets.end(), [&](const set_row& set) {
         return std::any_of(set.m_view.m_members.begin(),
                            set.m_view.m_members.end(), [&](const member& row) {
-                               return m_links.last_seen(row.m_name) > asked;
+                               return m_links.last_seen(row.m_name) > sent_at;
                            });
     });
 }
 
-std::vector<std::string> turn_client::first_members(const set_row& set,
-                                                    std::uint64_t draw) const
+std::vector<std::string>
+turn_client::first_members(const set_row& set, std::uint64_t tiebreak) const
 {
     struct candidate
     {
         bool m_joining = false;
         zone_distance m_distance = zone_distance::same_zone;
-        std::uint64_t m_draw = 0;
+        std::uint64_t m_tiebreak = 0;
         std::string m_name;
 
         // The linter takes the zero of a rewritten comparison for a pointer.
@@ -101,7 +102,7 @@
                 {row.m_state == member_state::joining,
                  distance_between(m_zones, row.m_availability_zone,
                                   m_availability_zone),
-                 hash64(row.m_name, draw), row.m_name});
+                 hash64(row.m_name, tiebreak), row.m_name});
     }
     std::sort(candidates.begin(), candidates.end());
     const std::size_t enough =
@@ -152,17 +153,17 @@
     if (auto* begin = std::get_if<begin_message>(&body))
         begin->m_want_history = target.m_name == work->m_history_member;
     const auto take = [this, work, name = target.m_name,
-                       epoch = work->m_epoch](std::optional<frame> answer) {
+                       epoch = work->m_epoch](std::optional<frame> reply) {
         if (work->m_closed || work->m_epoch != epoch)
             return;
-        auto& asked = work->m_rows[name];
-        asked.m_pending = false;
+        auto& row = work->m_rows[name];
+        row.m_pending = false;
         const auto* set = set_for(work->m_program);
-        if (answer && answer->m_status == frame_status::stale &&
-            set != nullptr && answer->m_epoch < set->m_view.m_epoch)
+        if (reply && reply->m_status == frame_status::stale && set != nullptr &&
+            reply->m_epoch < set->m_view.m_epoch)
             m_links.send_view(name, set->m_view);
-        if (answer && answer->m_status == frame_status::ok)
-            asked.m_reply = std::move(answer);
+        if (reply && reply->m_status == frame_status::ok)
+            row.m_reply = std::move(reply);
         work->m_changed.notify();
     };
     m_links.call(target.m_name, work->m_epoch, std::move(body), take);
@@ -175,25 +176,28 @@
         return;
     if (work->m_epoch != set->m_view.m_epoch)
     {
-        // Answers under another view do not add up with those of this one.
+        // Replies under different views must not be counted as one quorum.
         work->m_epoch = set->m_view.m_epoch;
         work->m_rows.clear();
         work->m_history_member = nearest_member(*set);
     }
-    const bool ask_all = m_time.now() >= work->m_request_all_at;
-    const auto first = ask_all ? std::vector<std::string>{}
-                               : first_members(*set, work->m_random_tiebreak);
-    // What leaves still tells what it holds.
+    const bool request_all = m_time.now() >= work->m_request_all_at;
+    const auto first = request_all
+                           ? std::vector<std::string>{}
+                           : first_members(*set, work->m_random_tiebreak);
+    // A leaving member still reports what it stores.
     const bool reads = std::holds_alternative<begin_message>(work->m_body);
     const auto members = set->m_view.m_members;
     for (const auto& target : members)
     {
         const auto& row = work->m_rows[target.m_name];
         const bool writes = takes_writes(target.m_state);
-        const bool wanted = ask_all || std::find(first.begin(), first.end(),
-                                                 target.m_name) != first.end();
+        const bool selected =
+            request_all ||
+            std::find(first.begin(), first.end(), target.m_name) != first.end();
         const bool useful =
-            writes ? wanted : reads && target.m_state == member_state::leaving;
+            writes ? selected
+                   : reads && target.m_state == member_state::leaving;
         if (useful && !row.m_pending && !row.m_reply &&
             m_links.connected(target.m_name))
             request_from(work, target);
@@ -250,12 +254,12 @@
 }
 
 task<> turn_client::await_quorum(std::shared_ptr<round> work, bool has_parent,
-                                 instant until)
+                                 instant deadline)
 {
     const auto begun_at = m_time.now();
-    work->m_request_all_at = begun_at + quorum_patience;
+    work->m_request_all_at = begun_at + quorum_timeout;
     std::optional<instant> quorum_at;
-    while (m_time.now() < until && !partitioned_since(begun_at))
+    while (m_time.now() < deadline && !partitioned_since(begun_at))
     {
         send_round(work);
         if (wrote_enough(*work) && read_enough(*work))
@@ -265,12 +269,12 @@
             if (!quorum_at)
                 quorum_at = m_time.now();
             const bool found = work->parent_found();
-            const bool chain_due =
+            const bool history_due =
                 work->begun(work->m_history_member) != nullptr ||
-                m_time.now() >= *quorum_at + chain_patience;
-            if ((found && chain_due) || all_lack_parent(*work))
+                m_time.now() >= *quorum_at + history_timeout;
+            if ((found && history_due) || all_lack_parent(*work))
                 co_return;
-            // Only every member together knows that a turn is not there.
+            // A turn is known to be missing only if every member reports it.
             if (!found && m_time.now() < work->m_request_all_at)
             {
                 work->m_request_all_at = m_time.now();
@@ -278,26 +282,25 @@
             }
         }
         const auto wake =
-            quorum_at && m_time.now() < *quorum_at + chain_patience
-                ? *quorum_at + chain_patience
+            quorum_at && m_time.now() < *quorum_at + history_timeout
+                ? *quorum_at + history_timeout
                 : m_time.now() + retry_interval;
-        co_await work->m_changed.wait_until(std::min(until, wake));
+        co_await work->m_changed.wait_until(std::min(deadline, wake));
     }
 }
 
-task<begin_result> turn_client::begin(begin_request request, instant until)
+task<begin_result> turn_client::begin(begin_request request, instant deadline)
 {
-    begin_message question;
-    question.m_reservation = {request.m_program, request.m_attempt,
-                              request.m_tokens, false};
-    question.m_retention_ms = request.m_retention_ms;
-    question.m_parent = request.m_parent;
-    const auto work =
-        std::make_shared<round>(m_io, request.m_program, question);
+    begin_message message;
+    message.m_reservation = {request.m_program, request.m_attempt,
+                             request.m_tokens, false};
+    message.m_retention_ms = request.m_retention_ms;
+    message.m_parent = request.m_parent;
+    const auto work = std::make_shared<round>(m_io, request.m_program, message);
     work->m_random_tiebreak = request.m_attempt.m_low;
     const bool has_parent = !request.m_parent.empty();
     begin_result result;
-    co_await await_quorum(work, has_parent, until);
+    co_await await_quorum(work, has_parent, deadline);
     if (!wrote_enough(*work) || !read_enough(*work))
     {
         work->m_closed = true;
@@ -323,31 +326,31 @@
                       " budget=" + std::to_string(request.m_budget);
     search_result found;
     if (has_parent)
-        found = co_await find_history(work, request, until);
+        found = co_await find_history(work, request, deadline);
     work->m_closed = true;
-    if (!fits_budget(ledger, question.m_reservation, request.m_budget))
+    if (!fits_budget(ledger, message.m_reservation, request.m_budget))
         result.m_outcome = begin_outcome::over_budget;
     else if (!has_parent || !found.m_history.empty())
         result.m_outcome = begin_outcome::granted;
     else if (found.m_not_found)
         result.m_outcome = begin_outcome::no_such_turn;
     else
-        result.m_reason = "the chain is not all within reach";
+        result.m_reason = "turn history could not be fetched completely";
     result.m_history = std::move(found.m_history);
     co_return result;
 }
 
-task<bool> turn_client::store(log_entry entry, instant until)
+task<bool> turn_client::store(log_entry entry, instant deadline)
 {
     const auto& turn = std::get<turn_record>(entry.m_what);
     const auto program = turn.m_program;
-    const auto draw = turn.m_attempt.m_low;
+    const auto tiebreak = turn.m_attempt.m_low;
     const auto work = std::make_shared<round>(m_io, program,
                                               append_message{std::move(entry)});
-    work->m_random_tiebreak = draw;
+    work->m_random_tiebreak = tiebreak;
     const auto begun_at = m_time.now();
-    work->m_request_all_at = begun_at + quorum_patience;
-    while (m_time.now() < until && !partitioned_since(begun_at))
+    work->m_request_all_at = begun_at + quorum_timeout;
+    while (m_time.now() < deadline && !partitioned_since(begun_at))
     {
         send_round(work);
         if (wrote_enough(*work))
@@ -355,22 +358,22 @@
         const auto wake = m_time.now() < work->m_request_all_at
                               ? work->m_request_all_at
                               : m_time.now() + retry_interval;
-        co_await work->m_changed.wait_until(std::min(until, wake));
+        co_await work->m_changed.wait_until(std::min(deadline, wake));
     }
-    const bool kept = wrote_enough(*work);
+    const bool stored = wrote_enough(*work);
     work->m_closed = true;
-    co_return kept;
+    co_return stored;
 }
 
 void turn_client::settle(const begin_request& request, std::uint32_t tokens,
-                         const prompt_location& place)
+                         const prompt_location& location)
 {
     const auto* set = set_for(request.m_program);
     if (set == nullptr)
         return;
     const append_message body{{request.m_retention_ms,
                                reservation{request.m_program, request.m_attempt,
-                                           tokens, true, place}}};
+                                           tokens, true, location}}};
     for (const auto& row : set->m_view.m_members)
     {
         if (takes_writes(row.m_state))
--- a/src/turns/turn_log.cpp
+++ b/src/turns/turn_log.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// Length and checksum in front of each entry, little-endian, 4 bytes each.
+/// Length and checksum before each entry, little-endian, 4 bytes each.
 constexpr std::uint32_t header_bytes = 8;
 constexpr std::uint32_t max_entry_bytes = 16U << 20U;
 constexpr std::uint32_t position_bits = 32;
@@ -101,7 +101,8 @@
     return good;
 }
 
-/// Replaces a small file so that either the old or the new one is there.
+/// Replaces a small file atomically: after a crash either the old or the new
+/// content is there.
 bool replace_file(const std::string& folder, const std::string& name,
                   const std::string& text, std::string& reason)
 {
@@ -141,8 +142,8 @@
     return value;
 }
 
-/// Length of the whole entry at the start of \p bytes; 0 if there is none.
-std::uint32_t whole_entry(std::string_view bytes)
+/// Length of the complete entry at the start of \p bytes; 0 if there is none.
+std::uint32_t complete_entry_bytes(std::string_view bytes)
 {
     if (bytes.size() < header_bytes)
         return 0;
@@ -252,7 +253,7 @@
         reason = os_error(path);
         return -1;
     }
-    // A new name lasts only once its file and its folder are synced.
+    // A new file is durable only once both it and its folder are synced.
     if (!existed && (fsync(file) != 0 || !sync_folder(m_folder)))
     {
         reason = os_error(path);
@@ -285,7 +286,7 @@
         }
         std::size_t used = 0;
         while (const auto length =
-                   whole_entry(std::string_view(*chunk).substr(used)))
+                   complete_entry_bytes(std::string_view(*chunk).substr(used)))
         {
             take({{segment, offset + static_cast<std::uint32_t>(used)},
                   chunk->substr(used + header_bytes, length)});
@@ -302,8 +303,8 @@
             want = header_bytes + std::size_t{max_entry_bytes};
             continue;
         }
-        // Only the end of the newest segment may be torn: all before it had
-        // been synced when it was left.
+        // Only the tail of the newest segment may be torn: earlier segments
+        // had been synced when the log moved on from them.
         damaged = damaged || !last;
         break;
     }
@@ -336,7 +337,7 @@
                           reason))
             return false;
     }
-    // A fresh segment, so that nothing is written behind a torn tail.
+    // A new segment, so that nothing is written after a torn tail.
     m_current = found.empty() ? 1 : found.back() + 1;
     m_end = 0;
     return true;
@@ -435,7 +436,7 @@
     if (bytes->size() < header_bytes + length)
         bytes = read_bytes(position.m_segment, position.m_offset,
                            header_bytes + length);
-    if (!bytes || whole_entry(*bytes) != length)
+    if (!bytes || complete_entry_bytes(*bytes) != length)
         return std::nullopt;
     return bytes->substr(header_bytes, length);
 }
--- a/src/turns/turn_news.cpp
+++ b/src/turns/turn_news.cpp
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// What a storage VM knows of the world: whom it tells, and what it keeps of it
-// on its disk.
+// The cluster state of a storage VM: its subscribers, and the copy on its disk.
 #include "pepperturn/cluster/relay_peers.hpp"
 #include "pepperturn/cluster/replica_sets.hpp"
 #include "pepperturn/turns/turn_server.hpp"
@@ -12,13 +11,13 @@
 
 namespace {
 
-/// Who looks for members asks a seed, and so do all VMs that start at once: of
-/// a longer list of runners it hears from its sources only, and the seeds'
-/// links stay free.
-constexpr std::size_t most_runners_for_seekers = 1000;
+/// VMs that look for members contact a seed, all at once when many start
+/// together. A longer list of runners is sent to them only by their update
+/// sources, so that the links of the seeds are not saturated.
+constexpr std::size_t max_runners_for_seekers = 1000;
 constexpr const char* state_file = "state";
 
-/// What is known, as the frame that tells it.
+/// Encodes the state as the frame that sends it, without the length prefix.
 std::string encode_state(const cluster_state& state)
 {
     constexpr std::size_t length_bytes = 4;
@@ -43,22 +42,24 @@
     from->m_relay = {hello.m_name, hello.m_relay_address,
                      hello.m_availability_zone};
     if (hello.m_seeks_members &&
-        m_state.m_runners.size() > most_runners_for_seekers)
+        m_state.m_runners.size() > max_runners_for_seekers)
     {
-        auto news = full_state(m_state);
-        news.m_runners.clear();
-        news.m_runners_revision = 0;
-        send_reply(from, 0, frame_status::ok, std::move(news));
+        auto update = full_state(m_state);
+        update.m_runners.clear();
+        update.m_runners_revision = 0;
+        send_reply(from, 0, frame_status::ok, std::move(update));
         return;
     }
-    const bool wanted = std::exchange(from->m_subscribed, hello.m_subscribes);
-    if (from->m_subscribed && !wanted)
+    const bool was_subscribed =
+        std::exchange(from->m_subscribed, hello.m_subscribes);
+    if (from->m_subscribed && !was_subscribed)
         send_full_update(*from, hello.m_known_runners);
 }
 
 void turn_server::send_full_update(const peer& to, std::uint64_t known)
 {
-    // Hundreds may ask at the same moment, most of them for the same.
+    // Hundreds may subscribe at the same moment, most of them from the same
+    // revision.
     const auto epoch = m_own_view.m_epoch;
     const bool same = m_full_update && m_full_update->m_changes == m_changes &&
                       m_full_update->m_known == known &&
@@ -72,25 +73,25 @@
     to.m_link->send(m_full_update->m_bytes);
 }
 
-relay_peers_message turn_server::relay_peers_for(const peer& asker) const
+relay_peers_message turn_server::relay_peers_for(const peer& requester) const
 {
     std::vector<relay_peer> candidates;
     candidates.reserve(m_peers.size());
     for (const auto& row : m_peers)
         candidates.push_back(row->m_relay);
-    return {choose_relay_peers(candidates, asker.m_name,
-                               asker.m_relay.m_availability_zone)};
+    return {choose_relay_peers(candidates, requester.m_name,
+                               requester.m_relay.m_availability_zone)};
 }
 
-void turn_server::apply_state(const cluster_state& news)
+void turn_server::apply_state(const cluster_state& update)
 {
-    const auto change = merge_state(m_state, news);
+    const auto change = merge_state(m_state, update);
     if (!change.any())
         return;
     m_state_saved = false;
     ++m_changes;
-    const auto* home = find_replica_set(m_state.m_views, m_name);
-    const auto own = home == nullptr ? cluster_view{} : *home;
+    const auto* own_set = find_replica_set(m_state.m_views, m_name);
+    const auto own = own_set == nullptr ? cluster_view{} : *own_set;
     if (own != m_own_view)
     {
         m_own_view = own;
@@ -111,7 +112,7 @@
 void turn_server::send_change(const state_change& change)
 {
     auto parts = changed_parts(m_state, change);
-    // Whoever listens has been told all up to there.
+    // Every subscriber has been sent everything up to that revision.
     if (m_sent_runners_revision > 0)
     {
         parts.m_runners_since = m_sent_runners_revision;
@@ -131,7 +132,7 @@
 
 void turn_server::save_own_view()
 {
-    // After a restart it must not act under an older view than before.
+    // After a restart this VM must not act under an older view than before.
     std::string reason;
     if (m_log.write_file(state_file, encode_state(m_state), reason))
         return;
--- a/src/turns/turn_server.cpp
+++ b/src/turns/turn_server.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Rows of each kind in one page of a listing: some tens of kilobytes.
+/// Rows of each kind in one page of a listing: tens of kilobytes.
 constexpr std::size_t list_rows = 2000;
 
 } // namespace
@@ -129,9 +129,9 @@
     const auto* self = find_member(m_own_view, m_name);
     if (self == nullptr || self->m_disk != m_disk)
         return frame_status::not_member;
-    // A leaving member tells what it holds, and keeps nothing new.
-    const bool only_tells = begins && self->m_state == member_state::leaving;
-    if (writes && !only_tells && !takes_writes(self->m_state))
+    // A leaving member reports what it stores, and stores nothing new.
+    const bool read_only = begins && self->m_state == member_state::leaving;
+    if (writes && !read_only && !takes_writes(self->m_state))
         return frame_status::not_member;
     if (writes && !m_disk_good)
         return frame_status::failed;
@@ -145,16 +145,16 @@
         handle_hello(from, *hello);
         return;
     }
-    if (const auto* news = std::get_if<cluster_state>(&value.m_body))
+    if (const auto* update = std::get_if<cluster_state>(&value.m_body))
     {
-        apply_state(*news);
+        apply_state(*update);
         return;
     }
     if (m_on_request)
     {
         const auto reply = [this, link = from->m_link,
                             call = value.m_call](frame_body body) {
-            // Nobody waits for the answer to a notice.
+            // A notification has no reply.
             if (call != 0)
                 link->send({call, m_own_view.m_epoch, frame_status::ok,
                             std::move(body)});
@@ -164,13 +164,14 @@
     }
     if (value.m_call == 0)
         return;
-    // Whatever the asker's view is.
+    // Served whatever the requester's view is.
     if (std::holds_alternative<config_request_message>(value.m_body))
     {
-        cluster_state told;
-        told.m_config_revision = m_state.m_config_revision;
-        told.m_config = m_state.m_config;
-        send_reply(from, value.m_call, frame_status::ok, std::move(told));
+        cluster_state config_only;
+        config_only.m_config_revision = m_state.m_config_revision;
+        config_only.m_config = m_state.m_config;
+        send_reply(from, value.m_call, frame_status::ok,
+                   std::move(config_only));
         return;
     }
     if (std::holds_alternative<relay_peers_request_message>(value.m_body))
@@ -213,69 +214,68 @@
 }
 
 void turn_server::handle_begin(const std::shared_ptr<peer>& from,
-                               std::uint64_t call,
-                               const begin_message& question)
+                               std::uint64_t call, const begin_message& request)
 {
     const auto now = m_time.now();
     const auto* self = find_member(m_own_view, m_name);
     if (self != nullptr && takes_writes(self->m_state))
-        m_store.append({question.m_retention_ms, question.m_reservation}, now);
+        m_store.append({request.m_retention_ms, request.m_reservation}, now);
     begun_message body;
-    body.m_ledger = m_store.ledger_of(question.m_reservation.m_program);
+    body.m_ledger = m_store.ledger_of(request.m_reservation.m_program);
     body.m_parent_found =
-        !question.m_parent.empty() && m_store.has_turn(question.m_parent);
-    if (question.m_want_history)
+        !request.m_parent.empty() && m_store.has_turn(request.m_parent);
+    if (request.m_want_history)
         body.m_history = m_store.history(
-            question.m_parent, milliseconds(question.m_retention_ms), now);
+            request.m_parent, milliseconds(request.m_retention_ms), now);
     reply_when_synced(from, call, std::move(body));
 }
 
 std::shared_ptr<const turn_server::holdings> turn_server::list_holdings()
 {
-    // Taken under the current epoch: whatever was acknowledged before it is
-    // in, and what comes later reaches a quorum of this view by itself.
-    auto held = m_holdings.lock();
-    if (held && held->m_epoch == m_own_view.m_epoch)
-        return held;
-    held = std::make_shared<const holdings>(holdings{
+    // Taken under the current epoch: everything acknowledged before it is
+    // included, and later writes reach a quorum of this view themselves.
+    auto snapshot = m_holdings.lock();
+    if (snapshot && snapshot->m_epoch == m_own_view.m_epoch)
+        return snapshot;
+    snapshot = std::make_shared<const holdings>(holdings{
         m_own_view.m_epoch, m_store.list_turns(), m_store.list_reservations()});
-    m_holdings = held;
-    return held;
+    m_holdings = snapshot;
+    return snapshot;
 }
 
 void turn_server::handle_list(const std::shared_ptr<peer>& from,
-                              std::uint64_t call, const list_message& question)
+                              std::uint64_t call, const list_message& request)
 {
-    if (question.m_gathered && m_gathered_at != m_own_view.m_epoch)
+    if (request.m_gathered && m_gathered_at != m_own_view.m_epoch)
     {
         send_reply(from, call, frame_status::failed, listed_message{});
         return;
     }
-    if (question.m_from == 0 || !from->m_holdings)
+    if (request.m_from == 0 || !from->m_holdings)
         from->m_holdings = list_holdings();
-    const auto& held = *from->m_holdings;
+    const auto& snapshot = *from->m_holdings;
     const auto page = [&](const auto& rows, auto& out) {
-        const auto begin = std::min<std::size_t>(question.m_from, rows.size());
+        const auto begin = std::min<std::size_t>(request.m_from, rows.size());
         const auto end = std::min(begin + list_rows, rows.size());
         out.assign(rows.begin() + static_cast<std::ptrdiff_t>(begin),
                    rows.begin() + static_cast<std::ptrdiff_t>(end));
     };
     listed_message body;
-    page(held.m_turns, body.m_turns);
-    page(held.m_reservations, body.m_reservations);
-    body.m_next = question.m_from + list_rows;
-    body.m_more =
-        body.m_next < std::max(held.m_turns.size(), held.m_reservations.size());
+    page(snapshot.m_turns, body.m_turns);
+    page(snapshot.m_reservations, body.m_reservations);
+    body.m_next = request.m_from + list_rows;
+    body.m_more = body.m_next < std::max(snapshot.m_turns.size(),
+                                         snapshot.m_reservations.size());
     if (!body.m_more)
         from->m_holdings.reset();
     send_reply(from, call, frame_status::ok, std::move(body));
 }
 
 void turn_server::handle_read(const std::shared_ptr<peer>& from,
-                              std::uint64_t call, const read_message& question)
+                              std::uint64_t call, const read_message& request)
 {
     entries_message body;
-    for (const auto position : question.m_positions)
+    for (const auto position : request.m_positions)
     {
         auto bytes = m_log.read(unpack(position));
         if (bytes)
@@ -289,7 +289,7 @@
 void turn_server::mark_gathered(std::uint64_t epoch)
 {
     m_gathered_at = epoch;
-    // Listed before, it lacks what was gathered.
+    // An earlier listing lacks what was gathered.
     m_holdings.reset();
 }
 
@@ -365,7 +365,7 @@
     m_writing_since = m_time.now();
     m_writing_replies = std::exchange(m_queued_replies, {});
     m_writing_waits = std::exchange(m_queued_waits, {});
-    // Syncing blocks, so it has a thread of its own.
+    // Syncing blocks, so it runs on a thread of its own.
     asio::post(m_writer, [this, batches = m_log.take_pending()] {
         std::string reason;
         const bool good = m_log.write_batches(batches, reason);
@@ -390,7 +390,8 @@
     }
     for (auto& row : std::exchange(m_writing_replies, {}))
     {
-        // A view that changed meanwhile does not count this answer.
+        // The reply carries the epoch of its request: a requester whose view
+        // has changed since does not count it.
         if (!good)
             row.m_reply.m_status = frame_status::failed;
         row.m_link->send(row.m_reply);
--- a/src/turns/turn_store.cpp
+++ b/src/turns/turn_store.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 /// The oldest segment is rewritten once at most this share of its entries
-/// is alive: copying a quarter costs little and frees three quarters.
+/// is live: copying a quarter is cheap and frees three quarters.
 constexpr std::size_t rewrite_share = 4;
-/// Entries read at a stretch: a few milliseconds on a third of a core.
-constexpr std::uint64_t load_stretch = 1000;
+/// Entries read in one batch: a few milliseconds on a third of a core.
+constexpr std::uint64_t load_batch = 1000;
 
 } // namespace
 
@@ -33,7 +33,7 @@
                 insert(*entry, row.m_position, now);
             else
                 ++unreadable;
-            if (between && ++count % load_stretch == 0)
+            if (between && ++count % load_batch == 0)
                 between();
         },
         damaged, reason);
@@ -56,7 +56,8 @@
     const auto attempt = program->second.m_attempts.find(row.m_attempt);
     if (attempt == program->second.m_attempts.end())
         return false;
-    // A settled one says it all; else only the same once more is known.
+    // A settled reservation is final; an unsettled one is known only if it is
+    // equal.
     return attempt->second.m_settled ||
            (!row.m_settled && attempt->second.m_tokens == row.m_tokens);
 }
@@ -92,11 +93,11 @@
     std::vector<kept_reservation> out;
     for (const auto& [program, row] : m_programs)
     {
-        for (const auto& [attempt, held] : row.m_attempts)
+        for (const auto& [attempt, stored] : row.m_attempts)
             out.push_back(
                 {row.m_retention_ms,
-                 reservation{program, attempt, held.m_tokens, held.m_settled,
-                             held.m_prompt_location}});
+                 reservation{program, attempt, stored.m_tokens,
+                             stored.m_settled, stored.m_prompt_location}});
     }
     return out;
 }
@@ -214,31 +215,31 @@
     }
     if (turns.size() * rewrite_share > m_turns.size())
         return;
-    std::vector<log_entry> alive;
+    std::vector<log_entry> live;
     for (const auto& position : turns)
     {
         if (auto turn = read_turn(position))
-            alive.push_back({static_cast<std::uint32_t>(
-                                 (m_turns[key_of(turn->m_id)].m_expiry - now) /
-                                 milliseconds(1)),
-                             std::move(*turn)});
+            live.push_back({static_cast<std::uint32_t>(
+                                (m_turns[key_of(turn->m_id)].m_expiry - now) /
+                                milliseconds(1)),
+                            std::move(*turn)});
     }
     for (const auto& [program, row] : m_programs)
     {
-        for (const auto& [attempt, held] : row.m_attempts)
+        for (const auto& [attempt, stored] : row.m_attempts)
         {
-            if (held.m_position.m_segment == oldest)
-                alive.push_back(
+            if (stored.m_position.m_segment == oldest)
+                live.push_back(
                     {row.m_retention_ms,
-                     reservation{program, attempt, held.m_tokens,
-                                 held.m_settled, held.m_prompt_location}});
+                     reservation{program, attempt, stored.m_tokens,
+                                 stored.m_settled, stored.m_prompt_location}});
         }
     }
-    if (!alive.empty())
+    if (!live.empty())
     {
-        // Written again first; the segment goes at a later call, when the
-        // copies have long been synced.
-        for (const auto& entry : alive)
+        // The live entries are appended again first; the segment is removed in
+        // a later call, when the copies have long been synced.
+        for (const auto& entry : live)
             insert(entry, m_log.append(encode_entry(entry)), now);
         return;
     }
--- a/test/turns/test_messages.cpp
+++ b/test/turns/test_messages.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-TEST_CASE("frames survive the wire", "[messages]")
+TEST_CASE("frames are equal after encoding and decoding", "[messages]")
 {
-    const reservation held{{1, 2}, {3, 4}, 80, false, {7, 1200, 9}};
+    const reservation reserved{{1, 2}, {3, 4}, 80, false, {7, 1200, 9}};
     cluster_state state;
     state.m_config_revision = 3;
     state.m_config = "{}";
@@ -43,15 +43,15 @@
         state,
         heartbeat_message{77, true},
         heartbeat_message{78, false},
-        begin_message{held, 60000, "parent", true},
-        begun_message{{held}, true, {some_turn("a"), some_turn("b")}},
+        begin_message{reserved, 60000, "parent", true},
+        begun_message{{reserved}, true, {some_turn("a"), some_turn("b")}},
         append_message{{60000, some_turn("a")}},
-        append_message{{60000, held}},
+        append_message{{60000, reserved}},
         appended_message{},
         fetch_message{"a"},
         fetched_message{{some_turn("a")}},
         list_message{99, true},
-        listed_message{7, true, {{{1, 2}, 9}}, {{1, held}}},
+        listed_message{7, true, {{{1, 2}, 9}}, {{1, reserved}}},
         read_message{{5, 6}},
         entries_message{{"raw", "bytes"}},
         copied_message{},
@@ -83,15 +83,15 @@
         const frame sent{12, 34, frame_status::stale, body};
         const auto bytes = encode_frame(sent);
         std::string reason;
-        const auto back =
+        const auto decoded =
             decode_frame(std::string_view(bytes).substr(4), reason);
         INFO(reason);
-        REQUIRE(back.has_value());
-        CHECK(*back == sent);
+        REQUIRE(decoded.has_value());
+        CHECK(*decoded == sent);
     }
 }
 
-TEST_CASE("random bytes are refused, not believed", "[messages][fuzz]")
+TEST_CASE("decoding random or damaged bytes does not crash", "[messages][fuzz]")
 {
     CHECK(rc::check("frames", [](const std::string& bytes) {
         std::string reason;
@@ -108,11 +108,12 @@
     }));
 }
 
-TEST_CASE("budgets from what several members know", "[ledger]")
+TEST_CASE("budgets are decided from the merged reservations of several members",
+          "[ledger]")
 {
     const id_key program{1, 1};
-    const auto held = [&](std::uint64_t id, std::uint32_t tokens,
-                          bool settled) {
+    const auto reserved = [&](std::uint64_t id, std::uint32_t tokens,
+                              bool settled) {
         return reservation{program, {id, id}, tokens, settled};
     };
     struct sample
@@ -123,21 +124,27 @@
         std::uint64_t m_committed;
     };
     const std::vector<sample> samples{
-        {"nothing known", {}, {}, 0},
-        {"known to one only", {held(1, 50, false)}, {}, 50},
-        {"known to both", {held(1, 50, false)}, {held(1, 50, false)}, 50},
-        {"settled goes before held",
-         {held(1, 50, false)},
-         {held(1, 20, true)},
+        {"no reservations", {}, {}, 0},
+        {"reported by one member only", {reserved(1, 50, false)}, {}, 50},
+        {"reported by both members",
+         {reserved(1, 50, false)},
+         {reserved(1, 50, false)},
+         50},
+        {"a settled count replaces a reserved one",
+         {reserved(1, 50, false)},
+         {reserved(1, 20, true)},
          20},
-        {"in either order", {held(1, 20, true)}, {held(1, 50, false)}, 20},
-        {"one's own does not count", {held(9, 70, false)}, {}, 0},
-        {"different ones add up",
-         {held(1, 50, true)},
-         {held(2, 30, false)},
+        {"in either order",
+         {reserved(1, 20, true)},
+         {reserved(1, 50, false)},
+         20},
+        {"the own attempt is not counted", {reserved(9, 70, false)}, {}, 0},
+        {"different attempts are added",
+         {reserved(1, 50, true)},
+         {reserved(2, 30, false)},
          80},
     };
-    const auto own = held(9, 40, false);
+    const auto own = reserved(9, 40, false);
     for (const auto& each : samples)
     {
         INFO(each.m_name);
@@ -150,19 +157,18 @@
     }
 }
 
-TEST_CASE(
-    "what a VM of the layout with one view knew is read, but for the view",
-    "[messages]")
+TEST_CASE("a state in the older layout with one view is read without the view",
+          "[messages]")
 {
     capnp::MallocMessageBuilder builder;
     auto root = builder.initRoot<turns_wire::Frame>();
-    auto old = root.initState();
-    old.setConfigRevision(7);
-    old.setConfig("seven");
-    old.setRunnersRevision(9);
-    old.initRunners(1)[0].setName("r-1");
-    old.setOldViewRevision(12);
-    auto member = old.initOldView(1)[0];
+    auto old_state = root.initState();
+    old_state.setConfigRevision(7);
+    old_state.setConfig("seven");
+    old_state.setRunnersRevision(9);
+    old_state.initRunners(1)[0].setName("r-1");
+    old_state.setOldViewRevision(12);
+    auto member = old_state.initOldView(1)[0];
     member.setName("vm-1");
     member.setAddress("1.2.3.4:5");
     const auto words = capnp::messageToFlatArray(builder);
@@ -174,6 +180,6 @@
     CHECK(state.m_config == "seven");
     REQUIRE(state.m_runners.size() == 1);
     CHECK(state.m_runners.front().m_name == "r-1");
-    // Its epoch is of no replica set.
+    // The epoch of the old view belongs to no replica set.
     CHECK(state.m_views.empty());
 }
