--- a/src/turns/turn_client.cpp
+++ b/src/turns/turn_client.cpp
@@ -156,14 +156,14 @@
                        epoch = work->m_epoch](std::optional<frame> reply) {
         if (work->m_closed || work->m_epoch != epoch)
             return;
-        auto& row = work->m_rows[name];
-        row.m_pending = false;
+        auto& reply_row = work->m_rows[name];
+        reply_row.m_pending = false;
         const auto* set = set_for(work->m_program);
         if (reply && reply->m_status == frame_status::stale && set != nullptr &&
             reply->m_epoch < set->m_view.m_epoch)
             m_links.send_view(name, set->m_view);
         if (reply && reply->m_status == frame_status::ok)
-            row.m_reply = std::move(reply);
+            reply_row.m_reply = std::move(reply);
         work->m_changed.notify();
     };
     m_links.call(target.m_name, work->m_epoch, std::move(body), take);
