--- a/include/pepperturn/fleet/storage_node.hpp
+++ b/include/pepperturn/fleet/storage_node.hpp
@@ -88,7 +88,7 @@
     /// \returns false if the request is about turns
     [[nodiscard]] bool handle_request(std::uint64_t requester,
                                       const frame_body& request,
-                                      const turn_server::reply& reply);
+                                      const turn_server::reply_sender& reply);
     [[nodiscard]] quota_reply count_request(const quota_request& request);
     /// Metrics of the requests counted here, by workspace.
     [[nodiscard]] std::string workspace_text() const;
--- a/include/pepperturn/fleet/storage_placements.hpp
+++ b/include/pepperturn/fleet/storage_placements.hpp
@@ -27,7 +27,7 @@
     /// \param requester id of the connection that the request came from
     void handle_request(std::uint64_t requester,
                         const placement_request& request,
-                        const turn_server::reply& reply);
+                        const turn_server::reply_sender& reply);
     void handle_report(const placement_report& report);
     /// Releases the placements requested on a connection that has closed: a
     /// killed edge VM reports no ends, and engines would seem full of runs that
@@ -41,12 +41,12 @@
     /// The pending reply to a queued call's request for its decision.
     struct waiter
     {
-        turn_server::reply m_reply;
+        turn_server::reply_sender m_reply;
         instant m_deadline{};
     };
 
     void await_decision(const placement_request& request,
-                        const turn_server::reply& reply);
+                        const turn_server::reply_sender& reply);
     void send_decisions();
     /// Records which connection a call belongs to.
     void record_requester(std::uint64_t requester,
--- a/src/fleet/edge_connectivity.cpp
+++ b/src/fleet/edge_connectivity.cpp
@@ -89,16 +89,16 @@
         if (!m_links.reachable_directly(name))
             continue;
         m_next_request = m_time.now() + first_interval;
-        m_links.call(name, 0, want_neighbours_message{},
+        m_links.call(name, 0, relay_peers_request_message{},
                      [this](const std::optional<frame>& reply) {
                          const auto* peers =
-                             reply ? std::get_if<neighbours_message>(
+                             reply ? std::get_if<relay_peers_message>(
                                          &reply->m_body)
                                    : nullptr;
-                         if (peers == nullptr || peers->m_neighbours.empty())
+                         if (peers == nullptr || peers->m_relay_peers.empty())
                              return;
                          m_next_request = m_time.now() + peers_interval;
-                         m_relay_client.set_peers(peers->m_neighbours);
+                         m_relay_client.set_peers(peers->m_relay_peers);
                      });
         return;
     }
--- a/src/fleet/storage_limits.cpp
+++ b/src/fleet/storage_limits.cpp
@@ -93,9 +93,9 @@
 
 bool storage_node::handle_request(std::uint64_t requester,
                                   const frame_body& request,
-                                  const turn_server::reply& reply)
+                                  const turn_server::reply_sender& reply)
 {
-    if (std::holds_alternative<want_freshness_message>(request))
+    if (std::holds_alternative<freshness_request_message>(request))
         reply(report_freshness(freshness(), m_server->state().m_config_revision,
                                m_time.now()));
     else if (const auto* quota = std::get_if<quota_request>(&request))
--- a/src/fleet/storage_node.cpp
+++ b/src/fleet/storage_node.cpp
@@ -183,12 +183,12 @@
         if (!change.m_evacuations.empty())
             m_placements.evacuate(evacuated_zones(m_server->state()));
     });
-    m_server->on_question([this](std::uint64_t requester,
-                                 const frame_body& request,
-                                 const turn_server::reply& reply) {
+    m_server->on_request([this](std::uint64_t requester,
+                                const frame_body& request,
+                                const turn_server::reply_sender& reply) {
         return handle_request(requester, request, reply);
     });
-    m_server->on_gone([this](std::uint64_t requester) {
+    m_server->on_disconnect([this](std::uint64_t requester) {
         m_placements.release_connection(requester);
     });
     m_links.on_hello([this] { return m_server->state().m_runners_revision; });
@@ -232,7 +232,7 @@
 
 void storage_node::apply_state(const cluster_state& update)
 {
-    m_server->take_state(update);
+    m_server->apply_state(update);
     m_config_fetcher.note_known(m_server->state().m_config_revision);
 }
 
@@ -355,13 +355,13 @@
         const auto age = std::chrono::duration_cast<milliseconds>(
             now - last_store_contact());
         constexpr milliseconds max_age{UINT32_MAX};
-        m_server->send_beat(std::min(age, max_age), m_source.running());
+        m_server->send_heartbeat(std::min(age, max_age), m_source.running());
     }
     if (now >= m_next_expiry)
     {
         m_next_expiry = now + expiry_interval;
         if (is_settled(m_owners, now, m_staleness_limits.m_max_revoke_delay))
-            m_server->note_settled();
+            m_server->mark_settled();
         m_server->save_state();
         if (m_loaded)
             m_store->expire(now);
--- a/src/fleet/storage_placements.cpp
+++ b/src/fleet/storage_placements.cpp
@@ -170,7 +170,7 @@
 
 void storage_placements::handle_request(std::uint64_t requester,
                                         const placement_request& request,
-                                        const turn_server::reply& reply)
+                                        const turn_server::reply_sender& reply)
 {
     record_service_request(request.m_service);
     record_requester(requester, request);
@@ -195,7 +195,7 @@
 }
 
 void storage_placements::await_decision(const placement_request& request,
-                                        const turn_server::reply& reply)
+                                        const turn_server::reply_sender& reply)
 {
     send_decisions();
     const auto found = m_decided.find(request.m_call);
--- a/src/scheduling/engine_places.cpp
+++ b/src/scheduling/engine_places.cpp
@@ -12,9 +12,9 @@
 struct engine_placements::state
 {
     std::unordered_map<std::uint64_t, placement_service> m_services;
-    /// Answers to calls of services that were dropped.
+    /// Replies to queued calls of services that were removed.
     std::vector<placement_decision> m_closed;
-    /// The latest time that was told: none before it is taken.
+    /// The latest time passed in; earlier ones are replaced by it.
     instant m_now{};
 
     instant advance(instant now)
@@ -54,13 +54,13 @@
 }
 
 std::optional<placement_reply>
-engine_placements::request_placement(const placement_request& question,
+engine_placements::request_placement(const placement_request& request,
                                      instant now)
 {
-    const auto row = m_state->m_services.find(question.m_service);
+    const auto row = m_state->m_services.find(request.m_service);
     if (row == m_state->m_services.end())
         return placement_reply{.m_outcome = placement_outcome::not_placing};
-    return row->second.request_placement(question, m_state->advance(now));
+    return row->second.request_placement(request, m_state->advance(now));
 }
 
 void engine_placements::report(const placement_report& report, instant now)
--- a/src/turns/messages.cpp
+++ b/src/turns/messages.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t second_hash_seed = 0x9e3779b97f4a7c15ULL;
 constexpr std::size_t length_bytes = 4;
 
-/// Writes each kind of body into its member of the union.
+/// Writes each kind of body to its member of the union.
 struct body_writer
 {
     turns_wire::Frame::Builder m_out;
@@ -28,17 +28,17 @@
     {
         auto out = m_out.initHello();
         out.setName(body.m_name);
-        out.setWantsNews(body.m_wants_news);
+        out.setWantsNews(body.m_subscribes);
         out.setRelayAddress(body.m_relay_address);
         out.setZone(body.m_availability_zone);
         out.setKnownRunners(body.m_known_runners);
-        out.setSeeks(body.m_seeks);
+        out.setSeeks(body.m_seeks_members);
     }
     void operator()(const cluster_state& body)
     {
         fill(m_out.initState(), body);
     }
-    void operator()(const beat_message& body)
+    void operator()(const heartbeat_message& body)
     {
         auto out = m_out.initBeat();
         out.setStoreAgeMs(body.m_store_age_ms);
@@ -50,14 +50,14 @@
         fill(out.initReservation(), body.m_reservation);
         out.setRetentionMs(body.m_retention_ms);
         out.setParent(body.m_parent);
-        out.setWantChain(body.m_want_chain);
+        out.setWantChain(body.m_want_history);
     }
     void operator()(const begun_message& body)
     {
         auto out = m_out.initBegun();
         fill_all(out.initLedger(body.m_ledger.size()), body.m_ledger);
         out.setParentFound(body.m_parent_found);
-        fill_all(out.initChain(body.m_chain.size()), body.m_chain);
+        fill_all(out.initChain(body.m_history.size()), body.m_history);
     }
     void operator()(const append_message& body)
     {
@@ -75,7 +75,7 @@
     }
     void operator()(const fetched_message& body)
     {
-        fill_all(m_out.initFetched(body.m_chain.size()), body.m_chain);
+        fill_all(m_out.initFetched(body.m_history.size()), body.m_history);
     }
     void operator()(const list_message& body)
     {
@@ -113,11 +113,11 @@
     {
         m_out.setCopied();
     }
-    void operator()(const want_config_message&)
+    void operator()(const config_request_message&)
     {
         m_out.setWantConfig();
     }
-    void operator()(const want_freshness_message&)
+    void operator()(const freshness_request_message&)
     {
         m_out.setWantFreshness();
     }
@@ -149,18 +149,18 @@
         out.setRetryMs(body.m_retry_after_ms);
         out.setPlace(body.m_packed_grant);
     }
-    void operator()(const want_neighbours_message&)
+    void operator()(const relay_peers_request_message&)
     {
         m_out.setWantNeighbours();
     }
-    void operator()(const neighbours_message& body)
+    void operator()(const relay_peers_message& body)
     {
-        auto out = m_out.initNeighbours(body.m_neighbours.size());
+        auto out = m_out.initNeighbours(body.m_relay_peers.size());
         for (unsigned i = 0; i < out.size(); ++i)
         {
-            out[i].setName(body.m_neighbours[i].m_name);
-            out[i].setAddress(body.m_neighbours[i].m_address);
-            out[i].setZone(body.m_neighbours[i].m_availability_zone);
+            out[i].setName(body.m_relay_peers[i].m_name);
+            out[i].setAddress(body.m_relay_peers[i].m_address);
+            out[i].setZone(body.m_relay_peers[i].m_availability_zone);
         }
     }
     void operator()(const relayed_message& body)
@@ -220,7 +220,8 @@
     }
 };
 
-/// What a newer VM may say counts as \p unknown, the last value known here.
+/// Reads a value that a newer VM may have added as \p unknown, the last value
+/// known here.
 template <class Enum> Enum read_enum(std::uint8_t value, Enum unknown)
 {
     return static_cast<Enum>(
@@ -266,7 +267,7 @@
     return out;
 }
 
-quota_request read_question(turns_wire::QuotaQuestion::Reader in)
+quota_request read_quota_request(turns_wire::QuotaQuestion::Reader in)
 {
     return {in.getWorkspace(),      {in.getRatePerS(), in.getBurst()},
             in.getConfigRevision(), in.getProgram(),
@@ -275,9 +276,9 @@
             in.getExact()};
 }
 
-quota_reply read_answer(turns_wire::QuotaAnswer::Reader in)
+quota_reply read_quota_reply(turns_wire::QuotaAnswer::Reader in)
 {
-    // What is not known here grants nothing.
+    // An unknown outcome grants nothing.
     return {read_enum(in.getOutcome(), quota_outcome::not_owner),
             in.getRetryMs(), in.getPlace()};
 }
@@ -289,18 +290,18 @@
             in.getKnownRunners(),          in.getSeeks()};
 }
 
-neighbours_message
-read_neighbours(capnp::List<turns_wire::Neighbour>::Reader in)
+relay_peers_message
+read_relay_peers(capnp::List<turns_wire::Neighbour>::Reader in)
 {
-    neighbours_message out;
+    relay_peers_message out;
     for (const auto row : in)
-        out.m_neighbours.push_back({text_of(row.getName()),
-                                    text_of(row.getAddress()),
-                                    text_of(row.getZone())});
+        out.m_relay_peers.push_back({text_of(row.getName()),
+                                     text_of(row.getAddress()),
+                                     text_of(row.getZone())});
     return out;
 }
 
-placement_request read_place_question(turns_wire::PlaceQuestion::Reader in)
+placement_request read_placement_request(turns_wire::PlaceQuestion::Reader in)
 {
     placement_request out;
     out.m_service = in.getService();
@@ -324,7 +325,7 @@
     return out;
 }
 
-placement_reply read_place_answer(turns_wire::PlaceAnswer::Reader in)
+placement_reply read_placement_reply(turns_wire::PlaceAnswer::Reader in)
 {
     return {read_enum(in.getOutcome(), placement_outcome::not_placing),
             in.getRunner(),
@@ -334,7 +335,7 @@
             in.getRetryMs()};
 }
 
-placement_report read_place_report(turns_wire::PlaceReport::Reader in)
+placement_report read_placement_report(turns_wire::PlaceReport::Reader in)
 {
     return {in.getService(),     in.getCall(),
             in.getRunner(),      read_enum(in.getEnd(), placement_end::not_run),
@@ -352,8 +353,8 @@
     case kind::STATE:
         return read(in.getState());
     case kind::BEAT:
-        return beat_message{in.getBeat().getStoreAgeMs(),
-                            in.getBeat().getWatches()};
+        return heartbeat_message{in.getBeat().getStoreAgeMs(),
+                                 in.getBeat().getWatches()};
     case kind::BEGIN:
         return read_begin(in.getBegin());
     case kind::BEGUN:
@@ -378,35 +379,35 @@
     case kind::COPIED:
         return copied_message{};
     case kind::WANT_CONFIG:
-        return want_config_message{};
+        return config_request_message{};
     case kind::WANT_FRESHNESS:
-        return want_freshness_message{};
+        return freshness_request_message{};
     case kind::FRESHNESS:
         return freshness_message{in.getFreshness().getConfigRevision(),
                                  in.getFreshness().getConfigAgeMs(),
                                  in.getFreshness().getViewsAgeMs()};
     case kind::QUOTA_QUESTION:
-        return read_question(in.getQuotaQuestion());
+        return read_quota_request(in.getQuotaQuestion());
     case kind::QUOTA_ANSWER:
-        return read_answer(in.getQuotaAnswer());
+        return read_quota_reply(in.getQuotaAnswer());
     case kind::WANT_NEIGHBOURS:
-        return want_neighbours_message{};
+        return relay_peers_request_message{};
     case kind::NEIGHBOURS:
-        return read_neighbours(in.getNeighbours());
+        return read_relay_peers(in.getNeighbours());
     case kind::RELAYED:
         return relayed_message{text_of(in.getRelayed().getMember()),
                                data_of(in.getRelayed().getFrame())};
     case kind::PLACE_QUESTION:
-        return read_place_question(in.getPlaceQuestion());
+        return read_placement_request(in.getPlaceQuestion());
     case kind::PLACE_ANSWER:
-        return read_place_answer(in.getPlaceAnswer());
+        return read_placement_reply(in.getPlaceAnswer());
     case kind::PLACE_REPORT:
-        return read_place_report(in.getPlaceReport());
+        return read_placement_report(in.getPlaceReport());
     }
     return std::nullopt;
 }
 
-/// Bytes copied to where words may be read.
+/// Copies the bytes to memory that is aligned for words.
 kj::Array<capnp::word> aligned(std::string_view bytes)
 {
     auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
@@ -421,15 +422,16 @@
     return options;
 }
 
-/// Runs \p decode over the message in \p bytes; the library reports by
-/// exception, ours are values.
+/// Runs \p decode over the message in \p bytes. Converts the exceptions of the
+/// library to an empty result and \p reason.
 template <class Root, class Decode>
 auto decode_message(std::string_view bytes, std::string& reason, Decode decode)
     -> decltype(decode(std::declval<typename Root::Reader>()))
 {
     if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
     {
-        reason = "length " + std::to_string(bytes.size()) + " is not of words";
+        reason = "length " + std::to_string(bytes.size()) +
+                 " is not a multiple of 8 bytes";
         return std::nullopt;
     }
     try
--- a/test/fleet/test_edge_connectivity.cpp
+++ b/test/fleet/test_edge_connectivity.cpp
@@ -25,7 +25,7 @@
 /// Makes storage VMs list \p who as a relay peer.
 struct announced_peer
 {
-    announced_peer(connectivity_fixture& fleet, const neighbour& who)
+    announced_peer(connectivity_fixture& fleet, const relay_peer& who)
         : m_links(fleet.m_io, fleet.m_time, who.m_name)
     {
         m_links.advertise_relay(who.m_address, who.m_availability_zone);
@@ -312,7 +312,7 @@
             {5, 0, frame_status::ok,
              relayed_message{"vm-0", inner.substr(length_bytes)}});
     };
-    const auto usual = passed(want_freshness_message{});
+    const auto usual = passed(freshness_request_message{});
     const auto large = passed(append_message{
         {retention_ms,
          turn_record{
@@ -417,7 +417,7 @@
         },
         [](const std::string&) {});
     const auto request =
-        encode_frame({0, 0, frame_status::ok, want_freshness_message{}});
+        encode_frame({0, 0, frame_status::ok, freshness_request_message{}});
     constexpr int sent = 5;
     for (std::uint64_t call = 1; call <= sent; ++call)
         (*link)->send({call, 0, frame_status::ok,
--- a/test/fleet/test_member_links.cpp
+++ b/test/fleet/test_member_links.cpp
@@ -43,7 +43,7 @@
         cluster_state update;
         update.m_config_revision = revision;
         update.m_config = "configuration " + std::to_string(revision);
-        m_server.take_state(update);
+        m_server.apply_state(update);
     }
     bool wait_for(const std::function<bool()>& done)
     {
@@ -123,7 +123,7 @@
     links.set_members(fixture.m_members);
     REQUIRE(fixture.wait_for([&] { return links.connected("vm-9"); }));
     fixture.sync();
-    fixture.m_server.send_beat(each.m_age, each.m_watches);
+    fixture.m_server.send_heartbeat(each.m_age, each.m_watches);
     fixture.sync();
     CHECK((links.store_last_seen() != instant{}) == each.m_heard);
     CHECK(links.watches_store("vm-9") == each.m_is_watcher);
@@ -224,7 +224,7 @@
     // A request makes its connection, and waits for it.
     int replies = 0;
     for (const char* name : {"vm-7", "vm-7", "vm-8"})
-        fixture.m_links.call(name, 0, want_neighbours_message{},
+        fixture.m_links.call(name, 0, relay_peers_request_message{},
                              [&](const std::optional<frame>& reply) {
                                  replies += reply ? 1 : 0;
                              });
@@ -242,7 +242,7 @@
     bool ended = false;
     const auto ask = [&] {
         ended = false;
-        fixture.m_links.call("vm-7", 0, want_neighbours_message{},
+        fixture.m_links.call("vm-7", 0, relay_peers_request_message{},
                              [&](const std::optional<frame>& reply) {
                                  ended = true;
                                  CHECK_FALSE(reply);
@@ -265,7 +265,7 @@
     all.m_runners_revision = 10;
     for (int i = 0; i < 500; ++i)
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
-    fixture.m_server.take_state(all);
+    fixture.m_server.apply_state(all);
     const std::uint64_t known = GENERATE(0, 10);
     if (known > 0)
         merge_state(fixture.m_state, all);
@@ -274,7 +274,7 @@
     update.m_runners_since = 10;
     update.m_runners_revision = 12;
     update.m_runners = {{"r1", "new", 11}, {"r2", "", 12, true}};
-    fixture.m_server.take_state(update);
+    fixture.m_server.apply_state(update);
     fixture.m_links.set_members(fixture.m_members);
     REQUIRE(fixture.wait_for(
         [&] { return fixture.m_state.m_runners_revision == 12; }));
@@ -292,7 +292,7 @@
     for (int i = 0; i < runners; ++i)
         all.m_runners.push_back({"r" + std::to_string(i), "text", 5});
     all.m_views = {{.m_epoch = 3, .m_members = fixture.m_members}};
-    fixture.m_server.take_state(all);
+    fixture.m_server.apply_state(all);
     fixture.m_links.connect_seeds({fixture.m_members.front().m_address});
     REQUIRE(fixture.wait_for([&] { return !fixture.m_state.m_views.empty(); }));
     CHECK(fixture.m_entries <= 1000);
--- a/test/support/fleet/connectivity_fixture.hpp
+++ b/test/support/fleet/connectivity_fixture.hpp
@@ -100,7 +100,7 @@
     {
         partition(false, false);
     }
-    [[nodiscard]] neighbour who() const
+    [[nodiscard]] relay_peer who() const
     {
         return {m_settings.m_name, m_settings.m_relay_address,
                 m_settings.m_availability_zone};
@@ -127,9 +127,9 @@
                               turn_record{id, parent, "in-" + id + ';',
                                           "out-" + id + ';', "run",
                                           key_of("program"), key_of(id), 30}};
-        return run_task(
-                   m_fleet.m_io,
-                   m_client.keep(entry, m_fleet.m_time.now() + default_timeout))
+        return run_task(m_fleet.m_io,
+                        m_client.store(entry,
+                                       m_fleet.m_time.now() + default_timeout))
             .value_or(false);
     }
 
@@ -192,8 +192,8 @@
     fake_relay_peer(const fake_relay_peer&) = delete;
     fake_relay_peer& operator=(const fake_relay_peer&) = delete;
 
-    [[nodiscard]] neighbour who(const std::string& name,
-                                const std::string& zone) const
+    [[nodiscard]] relay_peer who(const std::string& name,
+                                 const std::string& zone) const
     {
         return {name, "127.0.0.1:" + std::to_string(m_port), zone};
     }
