--- a/test/fleet/test_config_fetcher.cpp
+++ b/test/fleet/test_config_fetcher.cpp
@@ -158,7 +158,7 @@
 TEST_CASE("a configuration is requested once, however many announce it",
           "[config_fetcher]")
 {
-    // If each VM requested it from several storage VMs at a fleet's start, four
+    // If each VM requested it from four storage VMs at a fleet's start, the
     // copies would fill its link for four times as long.
     follower vm(99, 99);
     REQUIRE(run_until(vm.m_io, [&] { return vm.m_near.request_count() > 0; }));
