--- a/include/pepperturn/fleet/storage_places.hpp
+++ b/include/pepperturn/fleet/storage_places.hpp
@@ -6,7 +6,7 @@
 
 #include "pepperturn/base/zone_map.hpp"
 #include "pepperturn/fleet/world_source.hpp"
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 #include "pepperturn/turns/turn_server.hpp"
 
 #include <set>
--- a/include/pepperturn/forward/buffer_budget.hpp
+++ b/include/pepperturn/forward/buffer_budget.hpp
@@ -7,7 +7,7 @@
 /// beyond them never exceed the bound together, whatever the order of requests.
 #pragma once
 
-#include "pepperturn/scheduling/read_pressure.hpp"
+#include "pepperturn/scheduling/memory_pressure.hpp"
 
 #include <array>
 #include <functional>
--- a/include/pepperturn/forward/memory_guard.hpp
+++ b/include/pepperturn/forward/memory_guard.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
 /// Keeps the bytes that an edge VM buffers for callers and runners within its
-/// memory; scheduling/read_pressure.hpp says what is done at which level.
+/// memory; scheduling/memory_pressure.hpp says what is done at which level.
 #pragma once
 
 #include "pepperturn/base/async.hpp"
--- a/include/pepperturn/forward/placement_client.hpp
+++ b/include/pepperturn/forward/placement_client.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "pepperturn/cluster/member_links.hpp"
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 
 #include <map>
 
--- a/include/pepperturn/forward/proxy.hpp
+++ b/include/pepperturn/forward/proxy.hpp
@@ -12,7 +12,7 @@
 #include "pepperturn/forward/quota_client.hpp"
 #include "pepperturn/forward/stream_relay.hpp"
 #include "pepperturn/forward/traffic_metrics.hpp"
-#include "pepperturn/scheduling/second_try.hpp"
+#include "pepperturn/scheduling/early_retry.hpp"
 #include "pepperturn/tenancy/identity.hpp"
 #include "pepperturn/turns/turn_client.hpp"
 
--- a/include/pepperturn/forward/request_head.hpp
+++ b/include/pepperturn/forward/request_head.hpp
@@ -6,7 +6,7 @@
 
 #include "pepperturn/base/time.hpp"
 #include "pepperturn/forward/wire_names.hpp"
-#include "pepperturn/scheduling/prompt_home.hpp"
+#include "pepperturn/scheduling/prompt_location.hpp"
 #include "pepperturn/tenancy/workspaces.hpp"
 
 #include <boost/beast/http/message.hpp>
--- a/include/pepperturn/scheduling/engine_memory.hpp
+++ b/include/pepperturn/scheduling/engine_cache.hpp
@@ -8,7 +8,7 @@
 /// each engine has prefilled.
 #pragma once
 
-#include "pepperturn/scheduling/prompt_home.hpp"
+#include "pepperturn/scheduling/prompt_location.hpp"
 
 #include <cstddef>
 #include <cstdint>
--- a/include/pepperturn/scheduling/engine_places.hpp
+++ b/include/pepperturn/scheduling/engine_placements.hpp
@@ -18,7 +18,7 @@
 
 #include "pepperturn/base/time.hpp"
 #include "pepperturn/scheduling/admission.hpp"
-#include "pepperturn/scheduling/prompt_home.hpp"
+#include "pepperturn/scheduling/prompt_location.hpp"
 
 #include <cstdint>
 #include <memory>
--- a/include/pepperturn/scheduling/engine_record.hpp
+++ b/include/pepperturn/scheduling/engine_record.hpp
@@ -9,10 +9,10 @@
 #pragma once
 
 #include "pepperturn/base/time.hpp"
+#include "pepperturn/scheduling/engine_cache.hpp"
 #include "pepperturn/scheduling/engine_cost.hpp"
-#include "pepperturn/scheduling/engine_memory.hpp"
-#include "pepperturn/scheduling/engine_pace.hpp"
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_latency.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 
 #include <cstdint>
 #include <optional>
--- a/include/pepperturn/scheduling/place_service.hpp
+++ b/include/pepperturn/scheduling/placement_service.hpp
@@ -8,9 +8,9 @@
 /// their order can still be changed, rather than in the engines' queues.
 #pragma once
 
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 #include "pepperturn/scheduling/engine_record.hpp"
-#include "pepperturn/scheduling/place_line.hpp"
+#include "pepperturn/scheduling/placement_queue.hpp"
 
 #include <cstdint>
 #include <optional>
--- a/include/pepperturn/turns/messages.hpp
+++ b/include/pepperturn/turns/messages.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "pepperturn/cluster/state.hpp"
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 #include "pepperturn/tenancy/freshness.hpp"
 #include "pepperturn/tenancy/limiter.hpp"
 #include "pepperturn/turns/records.hpp"
--- a/include/pepperturn/turns/records.hpp
+++ b/include/pepperturn/turns/records.hpp
@@ -4,7 +4,7 @@
 /// of programs.
 #pragma once
 
-#include "pepperturn/scheduling/prompt_home.hpp"
+#include "pepperturn/scheduling/prompt_location.hpp"
 
 #include <compare>
 #include <cstdint>
--- a/src/forward/caller_connection.cpp
+++ b/src/forward/caller_connection.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "pepperturn/forward/caller_connection.hpp"
 
-#include "pepperturn/scheduling/refusal.hpp"
+#include "pepperturn/scheduling/retry_after.hpp"
 
 #include <array>
 #include <boost/beast/core/read_size.hpp>
--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -3,8 +3,8 @@
 
 #include "pepperturn/base/latency_histogram.hpp"
 #include "pepperturn/forward/allowed_regions.hpp"
-#include "pepperturn/scheduling/refusal.hpp"
-#include "pepperturn/scheduling/start_hold.hpp"
+#include "pepperturn/scheduling/retry_after.hpp"
+#include "pepperturn/scheduling/startup_wait.hpp"
 
 #include <algorithm>
 #include <boost/algorithm/string/join.hpp>
--- a/src/forward/proxy_places.cpp
+++ b/src/forward/proxy_places.cpp
@@ -5,7 +5,7 @@
 
 #include "pepperturn/base/hash.hpp"
 #include "pepperturn/forward/allowed_regions.hpp"
-#include "pepperturn/scheduling/refusal.hpp"
+#include "pepperturn/scheduling/retry_after.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/forward/proxy_workspaces.cpp
+++ b/src/forward/proxy_workspaces.cpp
@@ -4,7 +4,7 @@
 #include "pepperturn/forward/proxy.hpp"
 
 #include "pepperturn/base/hash.hpp"
-#include "pepperturn/scheduling/refusal.hpp"
+#include "pepperturn/scheduling/retry_after.hpp"
 
 #include <glog/logging.h>
 #include <sstream>
--- a/src/scheduling/second_try.cpp
+++ b/src/scheduling/early_retry.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/second_try.hpp"
+#include "pepperturn/scheduling/early_retry.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/scheduling/engine_places.cpp
+++ b/src/scheduling/engine_placements.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 
 #include "pepperturn/base/latency_histogram.hpp"
-#include "pepperturn/scheduling/place_service.hpp"
+#include "pepperturn/scheduling/placement_service.hpp"
 
 #include <algorithm>
 #include <unordered_map>
--- a/src/scheduling/place_service.cpp
+++ b/src/scheduling/placement_service.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/place_service.hpp"
+#include "pepperturn/scheduling/placement_service.hpp"
 
 #include "pepperturn/base/hash.hpp"
 
--- a/src/scheduling/start_hold.cpp
+++ b/src/scheduling/startup_wait.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/start_hold.hpp"
+#include "pepperturn/scheduling/startup_wait.hpp"
 
 #include <algorithm>
 
--- a/test/scheduling/model_engine.hpp
+++ b/test/scheduling/model_engine.hpp
@@ -6,7 +6,7 @@
 /// temporarily slower at random.
 #pragma once
 
-#include "pepperturn/scheduling/prompt_home.hpp"
+#include "pepperturn/scheduling/prompt_location.hpp"
 
 #include <cstdint>
 #include <deque>
--- a/test/scheduling/place_messages.hpp
+++ b/test/scheduling/placement_messages.hpp
@@ -3,7 +3,7 @@
 /// Requests, reports and engines for tests of placements.
 #pragma once
 
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 
 #include <string>
 #include <vector>
--- a/test/scheduling/place_policies.hpp
+++ b/test/scheduling/placement_policies.hpp
@@ -6,7 +6,7 @@
 #include "pepperturn/base/hash.hpp"
 #include "pepperturn/forward/runner_table.hpp"
 #include "pepperturn/scheduling/placement.hpp"
-#include "scheduling/place_site.hpp"
+#include "scheduling/placement_simulation.hpp"
 
 #include <algorithm>
 #include <map>
--- a/test/scheduling/place_site.cpp
+++ b/test/scheduling/placement_simulation.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "scheduling/place_site.hpp"
+#include "scheduling/placement_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/test/scheduling/place_site.hpp
+++ b/test/scheduling/placement_simulation.hpp
@@ -4,7 +4,7 @@
 /// millisecond, to measure a placement policy under load.
 #pragma once
 
-#include "pepperturn/scheduling/engine_places.hpp"
+#include "pepperturn/scheduling/engine_placements.hpp"
 #include "scheduling/model_engine.hpp"
 
 #include <cstdint>
--- a/test/scheduling/test_engine_memory.cpp
+++ b/test/scheduling/test_engine_cache.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/engine_memory.hpp"
+#include "pepperturn/scheduling/engine_cache.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_engine_choice.cpp
+++ b/test/scheduling/test_engine_choice.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 // Which engine a call is placed at, given what was learnt of the engines.
-#include "scheduling/place_messages.hpp"
+#include "scheduling/placement_messages.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_engine_pace.cpp
+++ b/test/scheduling/test_engine_latency.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/engine_pace.hpp"
+#include "pepperturn/scheduling/engine_latency.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_engine_places.cpp
+++ b/test/scheduling/test_engine_placements.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "scheduling/place_messages.hpp"
+#include "scheduling/placement_messages.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_read_pressure.cpp
+++ b/test/scheduling/test_memory_pressure.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/read_pressure.hpp"
+#include "pepperturn/scheduling/memory_pressure.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_place_histories.cpp
+++ b/test/scheduling/test_placement_histories.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 // Random sequences of requests, reports (correct and wrong) and engine
 // changes.
-#include "pepperturn/scheduling/place_service.hpp"
+#include "pepperturn/scheduling/placement_service.hpp"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
--- a/test/scheduling/test_place_loads.cpp
+++ b/test/scheduling/test_placement_loads.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 // Simulated deployments under high load, on a virtual clock.
-#include "scheduling/place_policies.hpp"
+#include "scheduling/placement_policies.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_place_line.cpp
+++ b/test/scheduling/test_placement_queue.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/place_line.hpp"
+#include "pepperturn/scheduling/placement_queue.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/test/scheduling/test_prompt_home.cpp
+++ b/test/scheduling/test_prompt_location.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "pepperturn/scheduling/prompt_home.hpp"
+#include "pepperturn/scheduling/prompt_location.hpp"
 
 #include <catch2/catch.hpp>
 
