--- a/include/pepperturn/core/deployment.hpp
+++ b/include/pepperturn/core/deployment.hpp
@@ -103,7 +103,7 @@
     /// Repeats allowed for each hundred first attempts, fleet-friendly.
     double m_retry_ratio = 0.2;
     std::uint64_t m_seq_window = 16;
-    std::size_t m_kept_answers = 256;
+    std::size_t m_retained_answers = 256;
     milliseconds m_gap_timeout{10000};
     milliseconds m_program_idle{900000};
     std::uint32_t m_max_turns = 512;
--- a/include/pepperturn/core/events.hpp
+++ b/include/pepperturn/core/events.hpp
@@ -20,7 +20,7 @@
 struct call_submitted
 {
     call_request m_request;
-    std::optional<call_report> m_adopted;
+    std::optional<call_report> m_adopted_report;
 };
 
 struct call_reported
@@ -29,7 +29,7 @@
 };
 
 /// A caller gave up. Its call goes on if it was sent.
-struct caller_left
+struct caller_disconnected
 {
     call_id m_call;
 };
@@ -62,7 +62,7 @@
     unknown
 };
 
-struct entry_answered
+struct entry_write_completed
 {
     std::uint32_t m_partition = 0;
     std::uint64_t m_seq = 0;
@@ -81,14 +81,14 @@
 };
 
 /// Absent image: the store did not answer.
-struct log_answered
+struct log_read_completed
 {
     std::uint32_t m_partition = 0;
     std::optional<log_image> m_image;
 };
 
 /// `m_manifest_revision` is valid if `m_written`.
-struct snapshot_answered
+struct snapshot_write_completed
 {
     std::uint32_t m_partition = 0;
     std::uint64_t m_covers = 0;
@@ -123,7 +123,7 @@
     bool m_restarted = true;
 };
 
-struct release_answered
+struct release_completed
 {
     std::string m_runner;
     program_key m_key;
@@ -165,10 +165,11 @@
 {};
 
 using event =
-    std::variant<call_submitted, call_reported, caller_left,
-                 program_end_requested, resolve_requested, entry_answered,
-                 log_answered, snapshot_answered, load_reported, cache_evicted,
-                 cache_gap, release_answered, vms_listed, heartbeat,
+    std::variant<call_submitted, call_reported, caller_disconnected,
+                 program_end_requested, resolve_requested,
+                 entry_write_completed, log_read_completed,
+                 snapshot_write_completed, load_reported, cache_evicted,
+                 cache_gap, release_completed, vms_listed, heartbeat,
                  deployment_changed, stop_requested>;
 
 // ---- commands ------------------------------------------------------------
--- a/include/pepperturn/core/prediction.hpp
+++ b/include/pepperturn/core/prediction.hpp
@@ -38,7 +38,7 @@
                                     const std::string& upstream);
 
 /// Tokens of the session's history that \p runner is believed to hold.
-[[nodiscard]] std::uint32_t believed_prefix(const runner_row& runner,
-                                            const session_row& session);
+[[nodiscard]] std::uint32_t estimated_cached_tokens(const runner_row& runner,
+                                                    const session_row& session);
 
 } // namespace pepperturn::detail
--- a/include/pepperturn/core/systems.hpp
+++ b/include/pepperturn/core/systems.hpp
@@ -24,12 +24,15 @@
 /// Applies a record to the rows and queues it for the next entry.
 void append_record(core_state& state, partition_row& partition,
                    pending_record entry);
-void on_entry_answered(core_state& state, const entry_answered& answered,
-                       command_list& out);
-void on_log_answered(core_state& state, const log_answered& answered,
-                     command_list& out);
-void on_snapshot_answered(core_state& state, const snapshot_answered& answered,
-                          command_list& out);
+void on_entry_write_completed(core_state& state,
+                              const entry_write_completed& answered,
+                              command_list& out);
+void on_log_read_completed(core_state& state,
+                           const log_read_completed& answered,
+                           command_list& out);
+void on_snapshot_write_completed(core_state& state,
+                                 const snapshot_write_completed& answered,
+                                 command_list& out);
 /// Writes what is pending, within the store's allowance.
 void run_log_writer(core_state& state, command_list& out);
 /// Drops every row of a partition that this VM no longer owns.
@@ -41,15 +44,15 @@
 void on_vms_listed(core_state& state, const vms_listed& listed);
 void on_heartbeat(core_state& state, const heartbeat& beat, command_list& out);
 /// Finds out whether this VM has just been paused.
-void note_pause(core_state& state, command_list& out);
+void detect_pause(core_state& state, command_list& out);
 [[nodiscard]] bool vm_alive(const core_state& state, const std::string& vm);
 /// Rendezvous choice among live VMs that are not leaving.
 [[nodiscard]] std::string preferred_owner(const core_state& state,
                                           std::uint32_t partition);
 /// The VM that says in its heartbeats that it owns the partition, of the newest
 /// epoch if there are several; empty: none does.
-[[nodiscard]] std::string owner_by_beats(const core_state& state,
-                                         std::uint32_t partition);
+[[nodiscard]] std::string owner_by_heartbeats(const core_state& state,
+                                              std::uint32_t partition);
 /// Whom to ask about a program: its owner as far as this VM knows, else who
 /// should own it; empty if no VM is known.
 [[nodiscard]] std::string likely_owner(const core_state& state,
@@ -62,14 +65,15 @@
 void on_call_submitted(core_state& state, const call_submitted& submitted,
                        command_list& out);
 /// Starts the session's next call if it has arrived.
-void begin_next(core_state& state, partition_row& partition,
-                const session_key& key, command_list& out);
+void start_next_call(core_state& state, partition_row& partition,
+                     const session_key& key, command_list& out);
 
 // ---- completion.cpp: reports, retries, the last word ------------------------
 
 void on_call_reported(core_state& state, const call_report& report,
                       command_list& out);
-void on_caller_left(core_state& state, const call_id& call, command_list& out);
+void on_caller_disconnected(core_state& state, const call_id& call,
+                            command_list& out);
 void count_outcome(core_state& state, outcome verdict);
 /// Says the last word to everyone who waits, and lets the session go on.
 void finish_call(core_state& state, call_row& call, answer reply,
@@ -132,7 +136,7 @@
 void run_routing(core_state& state, command_list& out);
 /// Sends a grant to the call's entry VM.
 void send_grant(core_state& state, call_row& call, command_list& out);
-void note_attempt_ended(core_state& state, const call_row& call,
+void record_attempt_end(core_state& state, const call_row& call,
                         const call_report* report);
 void on_load_reported(core_state& state, const load_reported& report);
 void on_cache_evicted(core_state& state, const cache_evicted& evicted);
@@ -140,7 +144,7 @@
 // ---- memory_release.cpp -----------------------------------------------------
 
 void run_memory_release(core_state& state, command_list& out);
-void on_release_answered(core_state& state, const release_answered& answered);
+void on_release_completed(core_state& state, const release_completed& answered);
 
 // ---- shared helpers ---------------------------------------------------------
 
--- a/include/pepperturn/core/tables.hpp
+++ b/include/pepperturn/core/tables.hpp
@@ -130,7 +130,7 @@
     std::uint32_t m_attempt = 0;
     std::string m_runner;
     /// Runners that failed this call.
-    std::set<std::string> m_avoid;
+    std::set<std::string> m_excluded_runners;
     std::uint64_t m_cost_bound = 0;
     std::uint32_t m_prompt_tokens = 0;
     bool m_started = false;
@@ -230,7 +230,7 @@
     std::uint64_t m_sent_tokens = 0;
     /// When the prefill of all that was sent should be done.
     instant m_prefill_free_at{};
-    instant m_cache_forgotten_at{};
+    instant m_cache_reset_at{};
     /// Exponentially weighted output length of its calls, in tokens.
     double m_mean_output = 120;
 };
@@ -239,8 +239,8 @@
 {
     vm_info m_info;
     bool m_listed = false;
-    heartbeat m_beat;
-    std::optional<instant> m_heard;
+    heartbeat m_heartbeat;
+    std::optional<instant> m_last_received;
 };
 
 struct workspace_row
@@ -284,7 +284,7 @@
     std::unordered_map<call_id, call_row> m_calls;
     std::map<std::string, runner_row> m_runners;
     /// Runner names by upstream.
-    std::map<std::string, std::vector<std::string>> m_by_upstream;
+    std::map<std::string, std::vector<std::string>> m_runners_by_upstream;
     /// Calls waiting for a runner: upstream -> (order key, arrival no.).
     std::map<std::string,
              std::map<std::pair<std::int64_t, std::uint64_t>, call_id>>
--- a/include/pepperturn/core/types.hpp
+++ b/include/pepperturn/core/types.hpp
@@ -87,7 +87,7 @@
     std::vector<message> m_messages;
     std::uint32_t m_max_tokens = 0;
     /// How long the caller waits for a start before it wants `not_run`.
-    milliseconds m_patience{0};
+    milliseconds m_queue_timeout{0};
 
     friend bool operator==(const call_request&, const call_request&) = default;
 };
@@ -158,7 +158,7 @@
     /// No byte left the entry VM.
     not_sent,
     /// Sent; no complete reply came.
-    cut,
+    aborted,
     /// A complete reply with its end marker.
     complete
 };
@@ -169,7 +169,7 @@
     call_id m_call;
     std::uint32_t m_attempt = 0;
     std::uint64_t m_epoch = 0;
-    attempt_end m_end = attempt_end::cut;
+    attempt_end m_end = attempt_end::aborted;
     std::int32_t m_status = 0;
     std::string m_body;
     std::string m_runner;
--- a/include/pepperturn/daemon/node.hpp
+++ b/include/pepperturn/daemon/node.hpp
@@ -86,10 +86,10 @@
     likely_owner(const program_key& key) const override;
     [[nodiscard]] bool alive(const std::string& vm) const override;
     void submit_to(const std::string& vm, const call_submitted& submitted,
-                   maybe_decision_done done) override;
+                   decision_callback done) override;
     void send(const grant& permit, const call_request& request,
               std::function<void(const std::string&)> on_token,
-              report_done done) override;
+              report_callback done) override;
     void cancel_sent(const grant& permit) override;
 
     void handle(const event& input);
--- a/include/pepperturn/entry/entry_table.hpp
+++ b/include/pepperturn/entry/entry_table.hpp
@@ -14,8 +14,8 @@
 namespace pepperturn {
 
 /// Empty: the owner could not be asked, or did not answer.
-using maybe_decision_done = std::function<void(std::optional<decision>)>;
-using report_done = std::function<void(call_report)>;
+using decision_callback = std::function<void(std::optional<decision>)>;
+using report_callback = std::function<void(call_report)>;
 
 /// Where the caller's reply goes. Thread-safe.
 class call_sink
@@ -41,12 +41,12 @@
     [[nodiscard]] virtual bool alive(const std::string& vm) const = 0;
     virtual void submit_to(const std::string& vm,
                            const call_submitted& submitted,
-                           maybe_decision_done done) = 0;
+                           decision_callback done) = 0;
     /// Sends the call to the grant's runner. \p on_token gets text as it
     /// comes, on any thread; \p done the report, once, on the loop thread.
     virtual void send(const grant& permit, const call_request& request,
                       std::function<void(const std::string&)> on_token,
-                      report_done done) = 0;
+                      report_callback done) = 0;
     /// Asks the engine to stop an attempt.
     virtual void cancel_sent(const grant& permit) = 0;
 };
@@ -77,11 +77,11 @@
         std::shared_ptr<call_sink> m_sink;
         /// Answers to earlier questions are ignored.
         std::uint32_t m_generation = 0;
-        std::string m_asked_vm;
-        std::string m_hint;
+        std::string m_target_vm;
+        std::string m_owner_hint;
         bool m_waiting = false;
         instant m_retry_at{};
-        instant m_give_up{};
+        instant m_deadline{};
         instant m_started{};
         std::optional<call_report> m_report;
         std::optional<grant> m_active;
@@ -89,18 +89,18 @@
         bool m_sent = false;
     };
 
-    void ask(const call_id& id, row& entry);
+    void submit(const call_id& id, row& entry);
     void on_decision(const call_id& id, std::uint32_t generation,
                      const std::optional<decision>& made);
     /// Tells an owner that nobody uses its grant: the call is over here.
-    void refuse(const std::string& vm, const call_request& request,
-                const grant& permit);
+    void decline_grant(const std::string& vm, const call_request& request,
+                       const grant& permit);
     void use_grant(const call_id& id, row& entry, const grant& permit);
     void on_report(const call_id& id, call_report report);
     void finish(const call_id& id, const answer& reply);
     /// This VM has not run for so long that owners may think it dead.
     [[nodiscard]] bool was_paused() const;
-    void give_up(const call_id& id, row& entry);
+    void abandon(const call_id& id, row& entry);
 
     entry_port& m_port;
     instant m_last_tick{};
--- a/include/pepperturn/net/peer.hpp
+++ b/include/pepperturn/net/peer.hpp
@@ -55,7 +55,7 @@
 
     virtual void submit(const std::string& address,
                         const call_submitted& submitted,
-                        maybe_decision_done done) = 0;
+                        decision_callback done) = 0;
     virtual void beat(const std::string& address, const heartbeat& mine,
                       std::function<void(std::optional<heartbeat>)> done) = 0;
     virtual void query(const std::string& address, const std::string& verb,
@@ -66,10 +66,10 @@
                         std::uint32_t attempt) = 0;
     virtual void end_program(const std::string& address,
                              const program_end_requested& request,
-                             maybe_decision_done done) = 0;
+                             decision_callback done) = 0;
     virtual void resolve(const std::string& address,
                          const resolve_requested& request,
-                         maybe_decision_done done) = 0;
+                         decision_callback done) = 0;
     /// Breaks the connection: every call waiting on it ends without answer.
     virtual void disconnect(const std::string& address) = 0;
 };
--- a/include/pepperturn/net/upstream_client.hpp
+++ b/include/pepperturn/net/upstream_client.hpp
@@ -12,16 +12,16 @@
 /// report, once. Complete only if the end marker was seen.
 void send_chat(const grant& permit, const std::string& model,
                std::function<void(const std::string&)> on_token,
-               report_done done);
+               report_callback done);
 
 void send_service(const grant& permit, const call_request& request,
-                  report_done done);
+                  report_callback done);
 
 /// Asks an engine to stop an attempt and to forget it.
 void cancel_chat(const grant& permit);
 
 void release_prefix(const release_memory& request,
-                    std::function<void(release_answered)> done);
+                    std::function<void(release_completed)> done);
 
 void read_load(const runner_info& runner,
                std::function<void(load_reported)> done);
--- a/src/bench/capacity_command.cpp
+++ b/src/bench/capacity_command.cpp
@@ -166,7 +166,7 @@
         request.m_upstream = "llm";
         request.m_messages = {{"user", std::string(turn_bytes, 'x')}};
         request.m_max_tokens = 200;
-        request.m_patience = milliseconds{1000000};
+        request.m_queue_timeout = milliseconds{1000000};
         m_core.handle(call_submitted{request, {}});
         drain();
     }
@@ -177,13 +177,13 @@
         if (const auto* create = std::get_if<create_entries>(&order))
         {
             for (const auto& entry : create->m_entries)
-                m_core.handle(entry_answered{entry.m_partition,
-                                             entry.m_seq,
-                                             create_status::created,
-                                             {}});
+                m_core.handle(entry_write_completed{entry.m_partition,
+                                                    entry.m_seq,
+                                                    create_status::created,
+                                                    {}});
         }
         else if (const auto* read = std::get_if<read_log>(&order))
-            m_core.handle(log_answered{read->m_partition, log_image{}});
+            m_core.handle(log_read_completed{read->m_partition, log_image{}});
         else if (const auto* decided = std::get_if<send_decision>(&order))
         {
             const auto* permit = std::get_if<grant>(&decided->m_decision);
--- a/src/bench/program_bench.cpp
+++ b/src/bench/program_bench.cpp
@@ -318,10 +318,10 @@
     {
         m_time.after(store_latency, [this, entries = create->m_entries] {
             for (const auto& entry : entries)
-                m_core.handle(entry_answered{entry.m_partition,
-                                             entry.m_seq,
-                                             create_status::created,
-                                             {}});
+                m_core.handle(entry_write_completed{entry.m_partition,
+                                                    entry.m_seq,
+                                                    create_status::created,
+                                                    {}});
             drain();
         });
         return;
@@ -329,7 +329,7 @@
     if (const auto* read = std::get_if<read_log>(&order))
     {
         m_time.after(store_latency, [this, partition = read->m_partition] {
-            m_core.handle(log_answered{partition, log_image{}});
+            m_core.handle(log_read_completed{partition, log_image{}});
             drain();
         });
         return;
@@ -342,7 +342,7 @@
                 cache_prefix_of(memory->m_key)));
         m_time.after(milliseconds(2),
                      [this, runner = memory->m_runner, key = memory->m_key] {
-                         m_core.handle(release_answered{runner, key, true});
+                         m_core.handle(release_completed{runner, key, true});
                      });
         return;
     }
@@ -394,7 +394,7 @@
             return;
         if (target.m_dead)
         {
-            report(permit, attempt_end::cut, milliseconds(1), 0);
+            report(permit, attempt_end::aborted, milliseconds(1), 0);
             return;
         }
         standin::engine_request request;
@@ -498,7 +498,7 @@
     const auto lost = std::move(box.m_grants);
     box.m_grants.clear();
     for (const auto& [id, permit] : lost)
-        report(permit, attempt_end::cut, milliseconds(1), 0);
+        report(permit, attempt_end::aborted, milliseconds(1), 0);
 }
 
 void run::report_loads()
@@ -565,7 +565,7 @@
     request.m_id = make_call_id("bench", 1, m_next_call++);
     request.m_entry_vm = "bench";
     request.m_session = {row.m_key, "main"};
-    request.m_patience = milliseconds{24LL * 3600 * 1000};
+    request.m_queue_timeout = milliseconds{24LL * 3600 * 1000};
     if (turn.m_service)
     {
         request.m_kind = call_kind::service;
--- a/src/codec/wire.cpp
+++ b/src/codec/wire.cpp
@@ -332,7 +332,7 @@
     out.setBody(as_data(value.m_body));
     write(value.m_messages, out.initMessages(value.m_messages.size()));
     out.setMaxTokens(value.m_max_tokens);
-    out.setPatienceMs(value.m_patience.count());
+    out.setPatienceMs(value.m_queue_timeout.count());
 }
 
 call_request read(wire::Request::Reader in)
@@ -352,7 +352,7 @@
     out.m_body = as_string(in.getBody());
     out.m_messages = read(in.getMessages());
     out.m_max_tokens = in.getMaxTokens();
-    out.m_patience = milliseconds(in.getPatienceMs());
+    out.m_queue_timeout = milliseconds(in.getPatienceMs());
     return out;
 }
 
@@ -416,7 +416,7 @@
     // An end that this version does not know may have been sent.
     out.m_end = in.getEnd() <= static_cast<std::uint8_t>(attempt_end::complete)
                     ? static_cast<attempt_end>(in.getEnd())
-                    : attempt_end::cut;
+                    : attempt_end::aborted;
     out.m_status = in.getStatus();
     out.m_body = as_string(in.getBody());
     out.m_runner = as_string(in.getRunner());
--- a/src/core/arrival.cpp
+++ b/src/core/arrival.cpp
@@ -62,11 +62,11 @@
 void resubmitted(core_state& state, call_row& call,
                  const call_submitted& submitted, command_list& out)
 {
-    if (submitted.m_adopted)
+    if (submitted.m_adopted_report)
     {
         // Entry VMs run one grant at a time, so this is the last one's end,
         // whichever owner gave it.
-        const auto& report = *submitted.m_adopted;
+        const auto& report = *submitted.m_adopted_report;
         const bool ends_it = call.m_state == call_state::granted ||
                              report.m_end == attempt_end::complete;
         if (call.m_state == call_state::ending)
@@ -226,8 +226,8 @@
         submitted.m_request.m_kind != call_kind::chat)
         return;
     const program_key root_key{key.m_workspace, key.m_root, key.m_root};
-    root->m_holders.insert(submitted.m_adopted->m_runner);
-    root->m_release_due.erase(submitted.m_adopted->m_runner);
+    root->m_holders.insert(submitted.m_adopted_report->m_runner);
+    root->m_release_due.erase(submitted.m_adopted_report->m_runner);
     state.m_releasing.emplace(partition.m_id, root_key);
 }
 
@@ -237,10 +237,11 @@
 {
     const auto& request = submitted.m_request;
     // A call that another owner's grant let through may have run.
-    const auto verdict = submitted.m_adopted && submitted.m_adopted->m_end !=
-                                                    attempt_end::not_sent
-                             ? outcome::unknown
-                             : outcome::not_run;
+    const auto verdict =
+        submitted.m_adopted_report &&
+                submitted.m_adopted_report->m_end != attempt_end::not_sent
+            ? outcome::unknown
+            : outcome::not_run;
     const auto& key = request.m_session.m_program;
     const auto* root = find_root(partition, key);
     const auto* program = find_program(partition, key);
@@ -259,7 +260,7 @@
                "Pepperturn-Parent names no running root program", out, verdict);
         return true;
     }
-    if (!state.m_by_upstream.contains(request.m_upstream))
+    if (!state.m_runners_by_upstream.contains(request.m_upstream))
     {
         reject(state, request, status_not_found,
                "no upstream is called " + request.m_upstream, out, verdict);
@@ -376,7 +377,7 @@
     call.m_digest = digest_of(request);
     call.m_partition = partition.m_id;
     call.m_arrived = state.m_now;
-    call.m_deadline = state.m_now + request.m_patience;
+    call.m_deadline = state.m_now + request.m_queue_timeout;
     call.m_waiters.push_back({request.m_entry_vm, request.m_id});
     open_program(state, partition, call);
     auto& program = partition.m_programs.at(request.m_session.m_program);
@@ -414,7 +415,7 @@
            const call_submitted& submitted, command_list& out)
 {
     const auto& request = submitted.m_request;
-    auto report = *submitted.m_adopted;
+    auto report = *submitted.m_adopted_report;
     const auto* session = find_session(partition, request.m_session);
     const std::uint64_t next = session == nullptr ? 1 : session->m_next_seq;
     const turn_row* turn =
@@ -494,7 +495,7 @@
     if (turn != nullptr &&
         is_duplicate_of(state, *session, *turn, submitted, out))
         return;
-    if (submitted.m_adopted)
+    if (submitted.m_adopted_report)
     {
         adopt(state, partition, submitted, out);
         return;
@@ -525,7 +526,7 @@
         rejected_by_seq(state, session, request, out))
         return;
     insert_call(state, partition, request);
-    begin_next(state, partition, request.m_session, out);
+    start_next_call(state, partition, request.m_session, out);
 }
 
 } // namespace
@@ -543,7 +544,7 @@
     {
         const auto& known = partition.m_known_owner;
         const bool useful = known != state.m_self && vm_alive(state, known);
-        const auto owner = useful ? known : owner_by_beats(state, id);
+        const auto owner = useful ? known : owner_by_heartbeats(state, id);
         out.emplace_back(send_decision{request.m_entry_vm,
                                        redirect{request.m_id, id, owner}});
         return;
@@ -553,7 +554,7 @@
         resubmitted(state, *call, submitted, out);
         return;
     }
-    if (submitted.m_adopted)
+    if (submitted.m_adopted_report)
         note_late_holder(state, partition, submitted);
     if (rejected_by_program(state, partition, submitted, out))
         return;
@@ -561,8 +562,8 @@
     submit_known_session(state, partition, session, submitted, out);
 }
 
-void begin_next(core_state& state, partition_row& partition,
-                const session_key& key, command_list& out)
+void start_next_call(core_state& state, partition_row& partition,
+                     const session_key& key, command_list& out)
 {
     auto* session = find_session(partition, key);
     if (session == nullptr || !session->m_active.empty())
--- a/src/core/commits.cpp
+++ b/src/core/commits.cpp
@@ -99,7 +99,7 @@
             return;
         }
         // The runner began to leave while the record was being written.
-        note_attempt_ended(state, *call, nullptr);
+        record_attempt_end(state, *call, nullptr);
         enqueue_ready(state, *call, out);
         return;
     case commit_action::answer_call:
--- a/src/core/completion.cpp
+++ b/src/core/completion.cpp
@@ -26,7 +26,7 @@
         dequeue_ready(state, call);
     if (call.m_state == call_state::granted ||
         call.m_state == call_state::starting)
-        note_attempt_ended(state, call, nullptr);
+        record_attempt_end(state, call, nullptr);
     if (call.m_cost_bound > 0)
         settle_budget(state, partition, call, 0);
     if (auto* session = find_session(partition, key))
@@ -147,7 +147,7 @@
     auto& partition = state.m_partitions[call.m_partition];
     state.m_retry_tokens -= 1;
     state.m_counters.m_retries += 1;
-    call.m_avoid.insert(call.m_runner);
+    call.m_excluded_runners.insert(call.m_runner);
     log_decision(out, "retry",
                  {{"call", call.m_request.m_id},
                   {"runner", call.m_runner},
@@ -157,7 +157,7 @@
           "attempt on " + call.m_runner + " failed: " + report.m_reason);
     settle_budget(state, partition, call, cost);
     call.m_may_have_run =
-        call.m_may_have_run || report.m_end == attempt_end::cut;
+        call.m_may_have_run || report.m_end == attempt_end::aborted;
     if (call.m_started)
     {
         enqueue_ready(state, call, out);
@@ -166,7 +166,7 @@
     // Reserve again, from the start: the first attempt may have cost tokens.
     if (auto* session = find_session(partition, call.m_request.m_session))
         session->m_active.clear();
-    begin_next(state, partition, call.m_request.m_session, out);
+    start_next_call(state, partition, call.m_request.m_session, out);
 }
 
 void fail_unsent(core_state& state, call_row& call, const call_report& report,
@@ -306,17 +306,17 @@
     if (root != nullptr && (root->m_ending || one_off))
         on_program_end(state, {{}, {}, key.m_program}, out);
     else
-        begin_next(state, partition, key, out);
+        start_next_call(state, partition, key, out);
 }
 
 void end_without_report(core_state& state, call_row& call,
                         const std::string& reason, command_list& out)
 {
     call_report report;
-    report.m_end = attempt_end::cut;
+    report.m_end = attempt_end::aborted;
     report.m_no_retry = true;
     report.m_reason = reason;
-    note_attempt_ended(state, call, nullptr);
+    record_attempt_end(state, call, nullptr);
     call.m_state = call_state::ending;
     fail_cut(state, call, report, out);
 }
@@ -378,14 +378,14 @@
     }
     if (report.m_attempt != call->m_attempt)
         return;
-    note_attempt_ended(state, *call, &report);
+    record_attempt_end(state, *call, &report);
     call->m_state = call_state::ending;
     switch (report.m_end)
     {
     case attempt_end::not_sent:
         fail_unsent(state, *call, report, out);
         return;
-    case attempt_end::cut:
+    case attempt_end::aborted:
         fail_cut(state, *call, report, out);
         return;
     case attempt_end::complete:
@@ -401,7 +401,8 @@
     complete(state, *call, report, out);
 }
 
-void on_caller_left(core_state& state, const call_id& id, command_list& out)
+void on_caller_disconnected(core_state& state, const call_id& id,
+                            command_list& out)
 {
     auto* call = find_call(state, id);
     if (call == nullptr)
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -18,13 +18,15 @@
 
 bool is_candidate(const core_state& state, const vm_row& row)
 {
-    return row.m_listed && !row.m_info.m_leaving && !row.m_beat.m_leaving &&
-           !row.m_beat.m_store_down && vm_alive(state, row.m_info.m_id);
+    return row.m_listed && !row.m_info.m_leaving &&
+           !row.m_heartbeat.m_leaving && !row.m_heartbeat.m_store_down &&
+           vm_alive(state, row.m_info.m_id);
 }
 
 bool claims(const vm_row& row, std::uint32_t partition)
 {
-    return std::any_of(row.m_beat.m_owned.begin(), row.m_beat.m_owned.end(),
+    return std::any_of(row.m_heartbeat.m_owned.begin(),
+                       row.m_heartbeat.m_owned.end(),
                        [partition](const owner_hint& hint) {
                            return hint.m_partition == partition;
                        });
@@ -163,7 +165,7 @@
     bool heard = false;
     for (const auto& [id, row] : state.m_vms)
     {
-        if (id == state.m_self || !row.m_listed || !row.m_heard)
+        if (id == state.m_self || !row.m_listed || !row.m_last_received)
             continue;
         others = true;
         heard = heard || vm_alive(state, id);
@@ -178,24 +180,25 @@
 {
     auto& self = state.m_vms[state.m_self];
     self.m_info.m_id = state.m_self;
-    self.m_heard = state.m_now;
-    self.m_beat.m_vm = state.m_self;
-    self.m_beat.m_incarnation = state.m_incarnation;
-    self.m_beat.m_leaving = state.m_stopping;
-    self.m_beat.m_store_down = false;
-    self.m_beat.m_config_revision = state.m_deployment.m_revision;
+    self.m_last_received = state.m_now;
+    self.m_heartbeat.m_vm = state.m_self;
+    self.m_heartbeat.m_incarnation = state.m_incarnation;
+    self.m_heartbeat.m_leaving = state.m_stopping;
+    self.m_heartbeat.m_store_down = false;
+    self.m_heartbeat.m_config_revision = state.m_deployment.m_revision;
     self.m_listed = true;
-    self.m_beat.m_owned.clear();
+    self.m_heartbeat.m_owned.clear();
     for (const auto& partition : state.m_partitions)
     {
         if (partition.m_role == partition_role::owner)
-            self.m_beat.m_owned.push_back({partition.m_id, partition.m_epoch});
+            self.m_heartbeat.m_owned.push_back(
+                {partition.m_id, partition.m_epoch});
     }
 }
 
 } // namespace
 
-void note_pause(core_state& state, command_list& out)
+void detect_pause(core_state& state, command_list& out)
 {
     const auto gap = state.m_now - state.m_last_tick;
     state.m_last_tick = state.m_now;
@@ -217,9 +220,9 @@
     if (vm == state.m_self)
         return true;
     const auto found = state.m_vms.find(vm);
-    if (found == state.m_vms.end() || !found->second.m_heard)
+    if (found == state.m_vms.end() || !found->second.m_last_received)
         return false;
-    return state.m_now - *found->second.m_heard <=
+    return state.m_now - *found->second.m_last_received <=
            state.m_deployment.m_limits.m_heartbeat_timeout;
 }
 
@@ -241,7 +244,8 @@
     return best;
 }
 
-std::string owner_by_beats(const core_state& state, std::uint32_t partition)
+std::string owner_by_heartbeats(const core_state& state,
+                                std::uint32_t partition)
 {
     std::string best;
     std::uint64_t best_epoch = 0;
@@ -249,7 +253,7 @@
     {
         if (id == state.m_self || !vm_alive(state, id))
             continue;
-        for (const auto& hint : row.m_beat.m_owned)
+        for (const auto& hint : row.m_heartbeat.m_owned)
         {
             if (hint.m_partition != partition ||
                 (!best.empty() && hint.m_epoch <= best_epoch))
@@ -273,7 +277,7 @@
         return known;
     // A claim of this VM that the store has not answered outdates what is
     // known; whoever says that it owns the partition still serves it.
-    auto beating = owner_by_beats(state, id);
+    auto beating = owner_by_heartbeats(state, id);
     return beating.empty() ? preferred_owner(state, id) : beating;
 }
 
@@ -300,14 +304,15 @@
 {
     auto& row = state.m_vms[beat.m_vm];
     row.m_info.m_id = beat.m_vm;
-    if (!row.m_heard || row.m_beat.m_incarnation != beat.m_incarnation)
+    if (!row.m_last_received ||
+        row.m_heartbeat.m_incarnation != beat.m_incarnation)
     {
         log_decision(out, "vm_heard",
                      {{"vm", beat.m_vm},
                       {"incarnation", std::to_string(beat.m_incarnation)}});
     }
-    row.m_beat = beat;
-    row.m_heard = state.m_now;
+    row.m_heartbeat = beat;
+    row.m_last_received = state.m_now;
     for (const auto& hint : beat.m_owned)
     {
         if (hint.m_partition >= state.m_partitions.size())
--- a/src/core/memory_release.cpp
+++ b/src/core/memory_release.cpp
@@ -68,7 +68,7 @@
     }
 }
 
-void on_release_answered(core_state& state, const release_answered& answered)
+void on_release_completed(core_state& state, const release_completed& answered)
 {
     if (!answered.m_acknowledged)
         return;
--- a/src/core/partition_log.cpp
+++ b/src/core/partition_log.cpp
@@ -199,8 +199,9 @@
     forget_rows(state, partition);
 }
 
-void on_entry_answered(core_state& state, const entry_answered& answered,
-                       command_list& out)
+void on_entry_write_completed(core_state& state,
+                              const entry_write_completed& answered,
+                              command_list& out)
 {
     auto& partition = state.m_partitions[answered.m_partition];
     const bool expected = partition.m_create && partition.m_store_busy &&
@@ -230,8 +231,9 @@
     }
 }
 
-void on_log_answered(core_state& state, const log_answered& answered,
-                     command_list& out)
+void on_log_read_completed(core_state& state,
+                           const log_read_completed& answered,
+                           command_list& out)
 {
     auto& partition = state.m_partitions[answered.m_partition];
     if (partition.m_role != partition_role::reading)
@@ -266,8 +268,9 @@
                    {}});
 }
 
-void on_snapshot_answered(core_state& state, const snapshot_answered& answered,
-                          command_list& out)
+void on_snapshot_write_completed(core_state& state,
+                                 const snapshot_write_completed& answered,
+                                 command_list& out)
 {
     auto& partition = state.m_partitions[answered.m_partition];
     const bool expected = partition.m_snapshot && partition.m_snapshot_sent &&
--- a/src/core/prediction.cpp
+++ b/src/core/prediction.cpp
@@ -63,7 +63,7 @@
 {
     candidate entry;
     entry.m_runner = &runner;
-    entry.m_cached = believed_prefix(runner, session);
+    entry.m_cached = estimated_cached_tokens(runner, session);
     const auto held = std::min(call.m_prompt_tokens, session.m_history_tokens);
     const auto again = held > entry.m_cached ? held - entry.m_cached : 0;
     const auto fresh = call.m_prompt_tokens - held;
@@ -76,14 +76,14 @@
     return entry;
 }
 
-std::uint32_t believed_prefix(const runner_row& runner,
-                              const session_row& session)
+std::uint32_t estimated_cached_tokens(const runner_row& runner,
+                                      const session_row& session)
 {
     const auto found = session.m_prefixes.find(runner.m_info.m_name);
     if (found == session.m_prefixes.end())
         return 0;
     const auto& prefix = found->second;
-    if (prefix.m_at < runner.m_cache_forgotten_at)
+    if (prefix.m_at < runner.m_cache_reset_at)
         return 0;
     // The engine keeps what was used last; more than its cache holds has
     // been sent since, so the prefix is gone.
@@ -96,8 +96,8 @@
 
 double predicted_wait(const core_state& state, const std::string& upstream)
 {
-    const auto names = state.m_by_upstream.find(upstream);
-    if (names == state.m_by_upstream.end())
+    const auto names = state.m_runners_by_upstream.find(upstream);
+    if (names == state.m_runners_by_upstream.end())
         return 0;
     double best = std::numeric_limits<double>::max();
     double total_rate = 0;
--- a/src/core/program_end.cpp
+++ b/src/core/program_end.cpp
@@ -75,7 +75,7 @@
 {
     if (opened_epoch == partition.m_epoch)
         return;
-    for (const auto& [upstream, names] : state.m_by_upstream)
+    for (const auto& [upstream, names] : state.m_runners_by_upstream)
     {
         const auto info = state.m_deployment.m_upstreams.find(upstream);
         if (info != state.m_deployment.m_upstreams.end() &&
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -24,14 +24,15 @@
                                       const session_row& session)
 {
     std::vector<candidate> out;
-    const auto names = state.m_by_upstream.find(call.m_request.m_upstream);
-    if (names == state.m_by_upstream.end())
+    const auto names =
+        state.m_runners_by_upstream.find(call.m_request.m_upstream);
+    if (names == state.m_runners_by_upstream.end())
         return out;
     auto facts = facts_of(state, call);
     for (const auto& name : names->second)
     {
         auto& runner = state.m_runners.at(name);
-        if (!is_usable(state, runner) || call.m_avoid.contains(name))
+        if (!is_usable(state, runner) || call.m_excluded_runners.contains(name))
             continue;
         facts.m_runner = name;
         facts.m_runner_zone = runner.m_info.m_availability_zone;
@@ -245,9 +246,9 @@
         !within_workspace_limit(state, *call))
         return false;
     auto all = candidates_for(state, *call, *session);
-    if (all.empty() && !call->m_avoid.empty())
+    if (all.empty() && !call->m_excluded_runners.empty())
     {
-        call->m_avoid.clear();
+        call->m_excluded_runners.clear();
         all = candidates_for(state, *call, *session);
     }
     const auto* chosen = pick(state, all, *call, *session);
@@ -386,7 +387,7 @@
     out.emplace_back(send_decision{request.m_entry_vm, std::move(permit)});
 }
 
-void note_attempt_ended(core_state& state, const call_row& call,
+void record_attempt_end(core_state& state, const call_row& call,
                         const call_report* report)
 {
     auto& workspace =
@@ -442,7 +443,7 @@
 {
     const auto found = state.m_runners.find(gap.m_runner);
     if (found != state.m_runners.end() && gap.m_restarted)
-        found->second.m_cache_forgotten_at = state.m_now;
+        found->second.m_cache_reset_at = state.m_now;
 }
 
 } // namespace pepperturn::detail
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -15,9 +15,10 @@
 {
     detail::on_call_reported(state, input.m_report, out);
 }
-void take(core_state& state, const caller_left& input, command_list& out)
+void take(core_state& state, const caller_disconnected& input,
+          command_list& out)
 {
-    detail::on_caller_left(state, input.m_call, out);
+    detail::on_caller_disconnected(state, input.m_call, out);
 }
 void take(core_state& state, const program_end_requested& input,
           command_list& out)
@@ -28,17 +29,19 @@
 {
     detail::on_resolve(state, input, out);
 }
-void take(core_state& state, const entry_answered& input, command_list& out)
+void take(core_state& state, const entry_write_completed& input,
+          command_list& out)
 {
-    detail::on_entry_answered(state, input, out);
+    detail::on_entry_write_completed(state, input, out);
 }
-void take(core_state& state, const log_answered& input, command_list& out)
+void take(core_state& state, const log_read_completed& input, command_list& out)
 {
-    detail::on_log_answered(state, input, out);
+    detail::on_log_read_completed(state, input, out);
 }
-void take(core_state& state, const snapshot_answered& input, command_list& out)
+void take(core_state& state, const snapshot_write_completed& input,
+          command_list& out)
 {
-    detail::on_snapshot_answered(state, input, out);
+    detail::on_snapshot_write_completed(state, input, out);
 }
 void take(core_state& state, const load_reported& input, command_list&)
 {
@@ -52,9 +55,9 @@
 {
     detail::on_cache_gap(state, input);
 }
-void take(core_state& state, const release_answered& input, command_list&)
+void take(core_state& state, const release_completed& input, command_list&)
 {
-    detail::on_release_answered(state, input);
+    detail::on_release_completed(state, input);
 }
 void take(core_state& state, const vms_listed& input, command_list&)
 {
@@ -110,7 +113,7 @@
 command_list scheduler::tick()
 {
     m_state.m_now = m_clock.now();
-    detail::note_pause(m_state, m_out);
+    detail::detect_pause(m_state, m_out);
     detail::run_deadlines(m_state, m_out);
     detail::run_slow_scan(m_state, m_out);
     detail::run_ownership(m_state, m_out);
@@ -162,7 +165,7 @@
     if (next.m_revision < m_state.m_deployment.m_revision)
         return;
     m_state.m_deployment = next;
-    m_state.m_by_upstream.clear();
+    m_state.m_runners_by_upstream.clear();
     std::erase_if(m_state.m_runners, [&](const auto& entry) {
         return !next.m_runners.contains(entry.first) &&
                entry.second.m_in_flight == 0;
@@ -173,10 +176,10 @@
     {
         auto& row = m_state.m_runners[name];
         row.m_info = info;
-        m_state.m_by_upstream[info.m_upstream].push_back(name);
+        m_state.m_runners_by_upstream[info.m_upstream].push_back(name);
     }
     for (const auto& [name, info] : next.m_upstreams)
-        m_state.m_by_upstream[name];
+        m_state.m_runners_by_upstream[name];
     detail::log_decision(
         m_out, "config_in_force",
         {{"revision", std::to_string(next.m_revision)},
--- a/src/core/upkeep.cpp
+++ b/src/core/upkeep.cpp
@@ -62,7 +62,7 @@
                   {"partition", std::to_string(partition.m_id)}});
     append_record(state, partition,
                   {std::move(ended), commit_action::none, {}, {}, {}});
-    begin_next(state, partition, key, out);
+    start_next_call(state, partition, key, out);
 }
 
 /// The entry VM that made the call id is alive and has not restarted.
@@ -71,7 +71,7 @@
     const auto vm = entry_of(call);
     const auto row = state.m_vms.find(vm);
     return row != state.m_vms.end() && vm_alive(state, vm) &&
-           row->second.m_beat.m_incarnation == incarnation_of(call);
+           row->second.m_heartbeat.m_incarnation == incarnation_of(call);
 }
 
 bool may_still_report(const core_state& state, const partition_row& partition,
--- a/src/daemon/chat_request.cpp
+++ b/src/daemon/chat_request.cpp
@@ -104,7 +104,7 @@
         fail(fault, "Idempotency-Key", "at most 256 characters");
         return false;
     }
-    out.m_patience = limits.m_default_patience;
+    out.m_queue_timeout = limits.m_default_patience;
     if (const auto text = header(call, "pepperturn-deadline-ms"))
     {
         constexpr std::uint64_t longest = 24ULL * 3600 * 1000;
@@ -115,7 +115,7 @@
                  "whole milliseconds, at most a day");
             return false;
         }
-        out.m_patience = milliseconds(*value);
+        out.m_queue_timeout = milliseconds(*value);
     }
     return true;
 }
--- a/src/daemon/inspect.cpp
+++ b/src/daemon/inspect.cpp
@@ -97,18 +97,19 @@
     for (const auto& [id, row] : state.m_vms)
     {
         json owned = json::array();
-        for (const auto& hint : row.m_beat.m_owned)
+        for (const auto& hint : row.m_heartbeat.m_owned)
             owned.push_back(hint.m_partition);
         out.push_back(
             {{"vm", id},
              {"address", row.m_info.m_address},
              {"availability_zone", row.m_info.m_availability_zone},
              {"alive", detail::vm_alive(state, id)},
-             {"leaving", row.m_info.m_leaving || row.m_beat.m_leaving},
-             {"store_down", row.m_beat.m_store_down},
-             {"config_revision", row.m_beat.m_config_revision},
+             {"leaving", row.m_info.m_leaving || row.m_heartbeat.m_leaving},
+             {"store_down", row.m_heartbeat.m_store_down},
+             {"config_revision", row.m_heartbeat.m_config_revision},
              {"partitions", owned},
-             {"heard_ms_ago", row.m_heard ? age_ms(state, *row.m_heard) : -1}});
+             {"heard_ms_ago",
+              row.m_last_received ? age_ms(state, *row.m_last_received) : -1}});
     }
     return out;
 }
--- a/src/daemon/node.cpp
+++ b/src/daemon/node.cpp
@@ -313,7 +313,7 @@
 }
 
 void node::submit_to(const std::string& vm, const call_submitted& submitted,
-                     maybe_decision_done done)
+                     decision_callback done)
 {
     if (vm == m_settings.m_vm.m_id)
     {
@@ -326,7 +326,7 @@
 
 void node::send(const grant& permit, const call_request& request,
                 std::function<void(const std::string&)> on_token,
-                report_done done)
+                report_callback done)
 {
     const auto on_loop = [this, done = std::move(done)](call_report report) {
         m_loop->post([done, report = std::move(report)] { done(report); });
@@ -394,7 +394,7 @@
 
 void node::release(const release_memory& order)
 {
-    release_prefix(order, [this](release_answered answered) {
+    release_prefix(order, [this](release_completed answered) {
         m_loop->post(
             [this, answered = std::move(answered)] { handle(answered); });
     });
@@ -519,7 +519,7 @@
     // A peer may know a revision that an unreachable store does not show.
     for (const auto& [id, row] : m_scheduler.state().m_vms)
     {
-        if (row.m_beat.m_config_revision <= mine || !alive(id) ||
+        if (row.m_heartbeat.m_config_revision <= mine || !alive(id) ||
             id == m_settings.m_vm.m_id)
             continue;
         m_loop->fetch_config(row.m_info.m_address, mine,
--- a/src/entry/entry_table.cpp
+++ b/src/entry/entry_table.cpp
@@ -32,19 +32,19 @@
     entry.m_sink = std::move(sink);
     entry.m_started = m_port.now();
     entry.m_started = m_port.now();
-    entry.m_give_up = m_port.now() + request.m_patience + owner_grace;
-    ask(request.m_id, entry);
+    entry.m_deadline = m_port.now() + request.m_queue_timeout + owner_grace;
+    submit(request.m_id, entry);
 }
 
-void entry_table::ask(const call_id& id, row& entry)
+void entry_table::submit(const call_id& id, row& entry)
 {
     entry.m_generation += 1;
-    entry.m_asked_vm = entry.m_hint;
-    entry.m_hint.clear();
-    if (entry.m_asked_vm.empty() || !m_port.alive(entry.m_asked_vm))
-        entry.m_asked_vm =
+    entry.m_target_vm = entry.m_owner_hint;
+    entry.m_owner_hint.clear();
+    if (entry.m_target_vm.empty() || !m_port.alive(entry.m_target_vm))
+        entry.m_target_vm =
             m_port.likely_owner(entry.m_request.m_session.m_program);
-    if (entry.m_asked_vm.empty())
+    if (entry.m_target_vm.empty())
     {
         entry.m_waiting = false;
         entry.m_retry_at = m_port.now() + ask_again;
@@ -55,20 +55,22 @@
     auto request = entry.m_request;
     const auto waited = std::chrono::duration_cast<milliseconds>(
         m_port.now() - entry.m_started);
-    request.m_patience = std::max(milliseconds{0}, request.m_patience - waited);
+    request.m_queue_timeout =
+        std::max(milliseconds{0}, request.m_queue_timeout - waited);
     m_port.submit_to(
-        entry.m_asked_vm, {request, entry.m_report},
+        entry.m_target_vm, {request, entry.m_report},
         [this, id, generation = entry.m_generation, request,
-         vm = entry.m_asked_vm](const std::optional<decision>& made) {
+         vm = entry.m_target_vm](const std::optional<decision>& made) {
             if (m_rows.contains(id))
                 on_decision(id, generation, made);
             else if (made && std::holds_alternative<grant>(*made))
-                refuse(vm, request, std::get<grant>(*made));
+                decline_grant(vm, request, std::get<grant>(*made));
         });
 }
 
-void entry_table::refuse(const std::string& vm, const call_request& request,
-                         const grant& permit)
+void entry_table::decline_grant(const std::string& vm,
+                                const call_request& request,
+                                const grant& permit)
 {
     auto report = report_for(permit);
     report.m_end = attempt_end::not_sent;
@@ -110,10 +112,10 @@
     }
     const auto& other = std::get<redirect>(*made);
     const bool news =
-        !other.m_owner_vm.empty() && other.m_owner_vm != entry.m_asked_vm;
-    entry.m_hint = other.m_owner_vm;
+        !other.m_owner_vm.empty() && other.m_owner_vm != entry.m_target_vm;
+    entry.m_owner_hint = other.m_owner_vm;
     if (news)
-        ask(id, entry);
+        submit(id, entry);
     else
         entry.m_retry_at = m_port.now() + ask_again;
 }
@@ -125,7 +127,7 @@
     if (entry.m_sent && !entry.m_request.m_repeatable)
     {
         auto report = report_for(permit);
-        report.m_end = attempt_end::cut;
+        report.m_end = attempt_end::aborted;
         report.m_reason = "already sent once";
         on_report(id, report);
         return;
@@ -153,9 +155,9 @@
         report.m_no_retry = false;
     entry.m_active.reset();
     entry.m_report = std::move(report);
-    entry.m_give_up = m_port.now() + report_limit;
-    entry.m_hint = entry.m_asked_vm;
-    ask(id, entry);
+    entry.m_deadline = m_port.now() + report_limit;
+    entry.m_owner_hint = entry.m_target_vm;
+    submit(id, entry);
 }
 
 void entry_table::finish(const call_id& id, const answer& reply)
@@ -166,7 +168,7 @@
     sink->on_answer(reply);
 }
 
-void entry_table::give_up(const call_id& id, row& entry)
+void entry_table::abandon(const call_id& id, row& entry)
 {
     answer reply;
     reply.m_call = id;
@@ -177,7 +179,7 @@
                                   : "no owner of the program was reachable";
     reply.m_retry_after = milliseconds{1000};
     LOG(INFO) << "event=entry_gave_up call=" << id << " sent=" << entry.m_sent;
-    const auto vm = entry.m_asked_vm;
+    const auto vm = entry.m_target_vm;
     const auto request = entry.m_request;
     const bool withdraw = !entry.m_sent && !vm.empty();
     finish(id, reply);
@@ -186,7 +188,7 @@
     {
         grant unused;
         unused.m_call = id;
-        refuse(vm, request, unused);
+        decline_grant(vm, request, unused);
     }
 }
 
@@ -214,7 +216,7 @@
     return std::string(entry.m_active    ? "sent"
                        : entry.m_waiting ? "asked "
                                          : "will ask after ") +
-           entry.m_asked_vm + (entry.m_report ? ", with a result" : "");
+           entry.m_target_vm + (entry.m_report ? ", with a result" : "");
 }
 
 void entry_table::tick()
@@ -226,9 +228,9 @@
     {
         if (entry.m_active)
             continue;
-        if (entry.m_waiting && m_port.alive(entry.m_asked_vm))
+        if (entry.m_waiting && m_port.alive(entry.m_target_vm))
         {
-            if (now >= entry.m_give_up)
+            if (now >= entry.m_deadline)
                 due.push_back(id);
             continue;
         }
@@ -238,10 +240,10 @@
     for (const auto& id : due)
     {
         auto& entry = m_rows.at(id);
-        if (now >= entry.m_give_up)
-            give_up(id, entry);
+        if (now >= entry.m_deadline)
+            abandon(id, entry);
         else
-            ask(id, entry);
+            submit(id, entry);
     }
 }
 
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -53,7 +53,7 @@
         const auto params = context.getParams();
         call_submitted submitted{codec::read(params.getRequest()), {}};
         if (params.getHasReport())
-            submitted.m_adopted = codec::read(params.getReport());
+            submitted.m_adopted_report = codec::read(params.getReport());
         auto [promise, done] = deferred(context);
         m_handler.on_peer_submit(std::move(submitted), std::move(done));
         return kj::mv(promise);
@@ -229,16 +229,17 @@
     }
 
     void submit(const std::string& address, const call_submitted& submitted,
-                maybe_decision_done done) override
+                decision_callback done) override
     {
         with_peer(
             address,
             [submitted](wire::Peer::Client peer) {
                 auto request = peer.submitRequest();
                 codec::write(submitted.m_request, request.initRequest());
-                request.setHasReport(submitted.m_adopted.has_value());
-                if (submitted.m_adopted)
-                    codec::write(*submitted.m_adopted, request.initReport());
+                request.setHasReport(submitted.m_adopted_report.has_value());
+                if (submitted.m_adopted_report)
+                    codec::write(*submitted.m_adopted_report,
+                                 request.initReport());
                 return request.send().then([](auto&& response) {
                     return codec::read(response.getDecision());
                 });
@@ -310,7 +311,7 @@
 
     void end_program(const std::string& address,
                      const program_end_requested& asked,
-                     maybe_decision_done done) override
+                     decision_callback done) override
     {
         with_peer(
             address,
@@ -327,7 +328,7 @@
     }
 
     void resolve(const std::string& address, const resolve_requested& asked,
-                 maybe_decision_done done) override
+                 decision_callback done) override
     {
         with_peer(
             address,
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -93,7 +93,7 @@
             m_report.m_end = attempt_end::not_sent;
         else
         {
-            m_report.m_end = attempt_end::cut;
+            m_report.m_end = attempt_end::aborted;
             m_report.m_no_retry = m_seen_tokens > 0;
             if (m_report.m_reason.empty())
                 m_report.m_reason = "no end marker";
@@ -145,7 +145,7 @@
 
 void send_chat(const grant& permit, const std::string& model,
                std::function<void(const std::string&)> on_token,
-               report_done done)
+               report_callback done)
 {
     auto reader = std::make_shared<chat_reader>();
     reader->m_report = report_for(permit);
@@ -167,7 +167,7 @@
 }
 
 void send_service(const grant& permit, const call_request& request,
-                  report_done done)
+                  report_callback done)
 {
     http_fetch call;
     call.m_base_url = permit.m_address;
@@ -188,7 +188,7 @@
             report.m_end = attempt_end::not_sent;
             break;
         case transfer_end::cut:
-            report.m_end = attempt_end::cut;
+            report.m_end = attempt_end::aborted;
             break;
         case transfer_end::complete:
             report.m_end = attempt_end::complete;
@@ -209,7 +209,7 @@
 }
 
 void release_prefix(const release_memory& request,
-                    std::function<void(release_answered)> done)
+                    std::function<void(release_completed)> done)
 {
     const auto& key = request.m_key;
     http_fetch call;
--- a/src/store/log_store.cpp
+++ b/src/store/log_store.cpp
@@ -130,7 +130,7 @@
     }
     for (const auto& entry : entries)
     {
-        entry_answered answered{
+        entry_write_completed answered{
             entry.m_partition, entry.m_seq, create_status::unknown, {}};
         std::string reason;
         if (result.m_status == guarded_status::written)
@@ -157,7 +157,7 @@
                    [this, reading](std::optional<std::vector<kv_entry>> found) {
                        if (!found)
                        {
-                           m_emit(log_answered{reading->m_partition, {}});
+                           m_emit(log_read_completed{reading->m_partition, {}});
                            return;
                        }
                        if (found->empty())
@@ -170,7 +170,7 @@
                        if (!json.is_object() || !json.contains("covers") ||
                            !json.contains("chunks") || !json.contains("prefix"))
                        {
-                           m_emit(log_answered{reading->m_partition, {}});
+                           m_emit(log_read_completed{reading->m_partition, {}});
                            return;
                        }
                        reading->m_image.m_manifest_revision =
@@ -206,7 +206,7 @@
                 {
                     // The function holds itself; let go of it.
                     *next = {};
-                    m_emit(log_answered{reading->m_partition, {}});
+                    m_emit(log_read_completed{reading->m_partition, {}});
                     return;
                 }
                 auto& records = reading->m_image.m_snapshot;
@@ -226,33 +226,33 @@
     const auto begin = entry_key(reading->m_partition, from);
     const auto end = end_of_prefix(m_prefix + "log/" +
                                    padded(reading->m_partition, 4) + "/");
-    m_store->range(begin, end, range_order::ascending, page_entries,
-                   [this, reading](std::optional<std::vector<kv_entry>> found) {
-                       if (!found)
-                       {
-                           m_emit(log_answered{reading->m_partition, {}});
-                           return;
-                       }
-                       std::uint64_t last = 0;
-                       for (const auto& entry : *found)
-                       {
-                           std::string reason;
-                           auto value =
-                               codec::decode_batch(entry.m_value, reason);
-                           if (!value)
-                           {
-                               m_emit(log_answered{reading->m_partition, {}});
-                               return;
-                           }
-                           last = seq_of(entry.m_key);
-                           reading->m_image.m_entries[last] = std::move(*value);
-                       }
-                       if (found->size() == page_entries)
-                           read_entries(reading, last + 1);
-                       else
-                           m_emit(log_answered{reading->m_partition,
-                                               std::move(reading->m_image)});
-                   });
+    m_store->range(
+        begin, end, range_order::ascending, page_entries,
+        [this, reading](std::optional<std::vector<kv_entry>> found) {
+            if (!found)
+            {
+                m_emit(log_read_completed{reading->m_partition, {}});
+                return;
+            }
+            std::uint64_t last = 0;
+            for (const auto& entry : *found)
+            {
+                std::string reason;
+                auto value = codec::decode_batch(entry.m_value, reason);
+                if (!value)
+                {
+                    m_emit(log_read_completed{reading->m_partition, {}});
+                    return;
+                }
+                last = seq_of(entry.m_key);
+                reading->m_image.m_entries[last] = std::move(*value);
+            }
+            if (found->size() == page_entries)
+                read_entries(reading, last + 1);
+            else
+                m_emit(log_read_completed{reading->m_partition,
+                                          std::move(reading->m_image)});
+        });
 }
 
 void log_store::write(const write_snapshot& request)
@@ -278,9 +278,9 @@
                      if (written)
                          write_chunk(chunks, index + 1, request);
                      else
-                         m_emit(snapshot_answered{request.m_partition,
-                                                  request.m_covers,
-                                                  create_status::unknown, 0});
+                         m_emit(snapshot_write_completed{
+                             request.m_partition, request.m_covers,
+                             create_status::unknown, 0});
                  });
 }
 
@@ -298,8 +298,8 @@
         {{key, text}}, {{key, request.m_manifest_revision}},
         [emit = m_emit, text, partition = request.m_partition,
          covers = request.m_covers](const guarded_result& result) {
-            snapshot_answered answered{partition, covers,
-                                       create_status::unknown, 0};
+            snapshot_write_completed answered{partition, covers,
+                                              create_status::unknown, 0};
             if (result.m_status == guarded_status::written)
             {
                 answered.m_status = create_status::created;
--- a/test/core/test_likely_owner.cpp
+++ b/test/core/test_likely_owner.cpp
@@ -65,6 +65,6 @@
     outdated_vm vm;
     vm.m_core.handle(beat_of("e", 3));
     vm.m_core.handle(beat_of("a", 4));
-    CHECK(detail::owner_by_beats(vm.m_core.state(), 0) == "a");
-    CHECK(detail::owner_by_beats(vm.m_core.state(), 1).empty());
+    CHECK(detail::owner_by_heartbeats(vm.m_core.state(), 0) == "a");
+    CHECK(detail::owner_by_heartbeats(vm.m_core.state(), 1).empty());
 }
--- a/test/core/test_partition_log.cpp
+++ b/test/core/test_partition_log.cpp
@@ -21,7 +21,7 @@
         for (const auto& order : core.tick())
         {
             if (std::holds_alternative<read_log>(order))
-                core.handle(log_answered{0, log_image{}});
+                core.handle(log_read_completed{0, log_image{}});
             if (const auto* create = std::get_if<create_entries>(&order))
                 return create->m_entries.front();
         }
--- a/test/store/test_log_store.cpp
+++ b/test/store/test_log_store.cpp
@@ -37,12 +37,12 @@
     return out;
 }
 
-std::vector<entry_answered> answers_in(const std::vector<event>& events)
+std::vector<entry_write_completed> answers_in(const std::vector<event>& events)
 {
-    std::vector<entry_answered> out;
+    std::vector<entry_write_completed> out;
     out.reserve(events.size());
     for (const auto& entry : events)
-        out.push_back(std::get<entry_answered>(entry));
+        out.push_back(std::get<entry_write_completed>(entry));
     return out;
 }
 
--- a/test/support/world.cpp
+++ b/test/support/world.cpp
@@ -94,7 +94,7 @@
 }
 
 void vm_box::submit_to(const std::string& vm, const call_submitted& submitted,
-                       maybe_decision_done done)
+                       decision_callback done)
 {
     if (vm != m_id)
     {
@@ -106,7 +106,7 @@
 }
 
 void vm_box::send(const grant& permit, const call_request& request,
-                  std::function<void(const std::string&)>, report_done done)
+                  std::function<void(const std::string&)>, report_callback done)
 {
     m_world.check_before_send(permit, request);
     if (request.m_kind == call_kind::chat)
@@ -423,8 +423,7 @@
 // ----------------------------------------------------------
 
 void world::submit_rpc(vm_box& from, const std::string& to,
-                       const call_submitted& submitted,
-                       maybe_decision_done done)
+                       const call_submitted& submitted, decision_callback done)
 {
     auto* target = find_vm(to);
     const auto id = m_next_rpc++;
@@ -497,7 +496,8 @@
 }
 
 void world::report_later(vm_box& vm, microseconds delay, call_report report,
-                         const report_done& done, std::size_t execution_index)
+                         const report_callback& done,
+                         std::size_t execution_index)
 {
     m_time.after(delay, [this, id = vm.m_id, incarnation = vm.m_incarnation,
                          report = std::move(report), done, execution_index] {
@@ -519,7 +519,7 @@
 }
 
 bool world::refused(const vm_box& vm, runner_box& runner, call_report report,
-                    const report_done& done)
+                    const report_callback& done)
 {
     if (runner.m_refuse_next == 0)
         return false;
@@ -533,7 +533,7 @@
 }
 
 void world::run_chat(vm_box& vm, const grant& permit,
-                     const call_request& request, const report_done& done)
+                     const call_request& request, const report_callback& done)
 {
     auto& runner = m_runners.at(permit.m_runner);
     auto report = report_for(permit);
@@ -575,14 +575,15 @@
     if (runner.m_cut_next > 0)
     {
         runner.m_cut_next -= 1;
-        report.m_end = attempt_end::cut;
+        report.m_end = attempt_end::aborted;
         report.m_body = "re:";
     }
     report_later(vm, delay, report, done, m_executions.size() - 1);
 }
 
 void world::run_service(vm_box& vm, const grant& permit,
-                        const call_request& request, const report_done& done)
+                        const call_request& request,
+                        const report_callback& done)
 {
     auto& runner = m_runners.at(permit.m_runner);
     auto report = report_for(permit);
@@ -598,7 +599,7 @@
     if (runner.m_cut_next > 0)
     {
         runner.m_cut_next -= 1;
-        report.m_end = attempt_end::cut;
+        report.m_end = attempt_end::aborted;
     }
     report_later(vm, milliseconds(5 + m_random() % 300), report, done,
                  m_executions.size() - 1);
@@ -619,7 +620,7 @@
                 });
             on_vm(id, incarnation, [this, order, id, lost] {
                 find_vm(id)->m_core.handle(
-                    release_answered{order.m_runner, order.m_key, !lost});
+                    release_completed{order.m_runner, order.m_key, !lost});
             });
         });
 }
--- a/test/support/world.hpp
+++ b/test/support/world.hpp
@@ -90,10 +90,10 @@
     likely_owner(const program_key& key) const override;
     [[nodiscard]] bool alive(const std::string& vm) const override;
     void submit_to(const std::string& vm, const call_submitted& submitted,
-                   maybe_decision_done done) override;
+                   decision_callback done) override;
     void send(const grant& permit, const call_request& request,
               std::function<void(const std::string&)> on_token,
-              report_done done) override;
+              report_callback done) override;
     void cancel_sent(const grant& permit) override;
 
     void drain();
@@ -181,7 +181,7 @@
         std::uint64_t m_from_incarnation = 0;
         std::string m_to;
         std::uint64_t m_to_incarnation = 0;
-        maybe_decision_done m_done;
+        decision_callback m_done;
     };
 
     void note(promise which, const std::string& what);
@@ -201,18 +201,18 @@
     [[nodiscard]] deployment make_deployment() const;
 
     void submit_rpc(vm_box& from, const std::string& to,
-                    const call_submitted& submitted, maybe_decision_done done);
+                    const call_submitted& submitted, decision_callback done);
     void close_rpc(std::uint64_t id, const std::optional<decision>& made);
     void note_execution(const grant& permit, const call_request& request);
     /// True if the runner was told to refuse its next call, which it did.
     bool refused(const vm_box& vm, runner_box& runner, call_report report,
-                 const report_done& done);
+                 const report_callback& done);
     void run_chat(vm_box& vm, const grant& permit, const call_request& request,
-                  const report_done& done);
+                  const report_callback& done);
     void run_service(vm_box& vm, const grant& permit,
-                     const call_request& request, const report_done& done);
+                     const call_request& request, const report_callback& done);
     void report_later(vm_box& vm, microseconds delay, call_report report,
-                      const report_done& done, std::size_t execution_index);
+                      const report_callback& done, std::size_t execution_index);
     void check_before_send(const grant& permit, const call_request& request);
     void release(vm_box& vm, const release_memory& order);
 
--- a/test/support/world_clients.cpp
+++ b/test/support/world_clients.cpp
@@ -89,7 +89,7 @@
     request.m_entry_vm = vm.m_id;
     request.m_session = client.m_key;
     request.m_seq = seq;
-    request.m_patience = patience;
+    request.m_queue_timeout = patience;
     const auto content = content_of(client.m_key, seq);
     if (is_receipt(seq))
     {
