--- a/include/pepperturn/core/deployment.hpp
+++ b/include/pepperturn/core/deployment.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What a configuration revision says: runners, workspaces, limits, and the
-/// choices of the scheduler.
+/// The content of a configuration revision: runners, workspaces, limits, and
+/// the scheduler's settings.
 #pragma once
 
 #include "pepperturn/core/types.hpp"
@@ -24,8 +24,8 @@
     friend bool operator==(const vm_info&, const vm_info&) = default;
 };
 
-/// One process of an upstream. Rates are the operator's estimate, in tokens
-/// a second.
+/// One process of an upstream. Rates are the operator's estimates, in tokens
+/// per second.
 struct runner_info
 {
     std::string m_name;
@@ -53,7 +53,7 @@
                            const upstream_info&) = default;
 };
 
-/// A customer. The key is kept as a salted digest only.
+/// A customer. Only a salted digest of the key is stored.
 struct workspace_info
 {
     std::string m_name;
@@ -81,40 +81,43 @@
     fcfs
 };
 
-/// Tunables of the systems. Defaults are the ones measured in
-/// docs/design/scheduling.md.
+/// Tunables of the scheduler. docs/design/scheduling.md has the measurements
+/// behind the defaults.
 struct scheduler_limits
 {
     routing_rule m_routing = routing_rule::predicted_finish;
     ordering_rule m_ordering = ordering_rule::attained_service;
-    /// Calls sent to a runner beyond its slots; the rest is queued here,
-    /// where it can still be reordered and truthfully reported as not run.
+    /// Calls sent to a runner beyond its slots. The others stay in this VM's
+    /// queue, where they can still be reordered, and reported as `not_run`.
     std::uint32_t m_runner_queue = 2;
-    /// A class is worth this much waiting.
+    /// Waiting time that outweighs a difference of one priority class.
     seconds m_class_step{60};
-    /// Seconds of priority for each second of service that the program has
-    /// had: negative lets programs that are far along go first, which keeps
-    /// the number of half-done programs, and so the prefixes in use, small.
+    /// Added to the order key, in seconds per second of service that the
+    /// program has received. A negative weight runs programs with the most
+    /// service first, which keeps the number of unfinished programs, and so
+    /// of prefixes in use, small.
     double m_service_weight = -1;
-    /// Prefill that an engine has to do again counts this often: it also
-    /// holds up others there and pushes their prefixes out.
+    /// Weight of prefill that an engine has to repeat: it also delays other
+    /// calls there and evicts their prefixes.
     double m_recompute_weight = 30;
     std::uint32_t m_max_attempts = 3;
-    /// Repeats allowed for each hundred first attempts, fleet-friendly.
+    /// Retry budget: retries allowed per first attempt, which bounds the load
+    /// that retries add to the runners.
     double m_retry_ratio = 0.2;
     std::uint64_t m_seq_window = 16;
     std::size_t m_retained_answers = 256;
     milliseconds m_gap_timeout{10000};
     milliseconds m_program_idle{900000};
     std::uint32_t m_max_turns = 512;
-    /// Reservation blocks, in multiples of the call that asks.
+    /// Size of a budget reservation, in multiples of the cost bound of the
+    /// call that needs it.
     std::uint64_t m_block_calls = 4;
     milliseconds m_heartbeat_timeout{1500};
     milliseconds m_rebalance_delay{3000};
     milliseconds m_outage_after{2000};
     std::size_t m_pending_bytes = 8U << 20U;
     std::uint64_t m_snapshot_entries = 256;
-    /// A VM's share of the store's write allowance.
+    /// This VM's share of the store's write rate limit.
     double m_writes_per_second = 40;
     double m_write_burst = 80;
     std::size_t m_batch_bytes = 700000;
--- a/include/pepperturn/core/events.hpp
+++ b/include/pepperturn/core/events.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What the decision core is told (events) and what it asks for (commands).
-/// Both are plain values, so that any driver can run the core: the daemon,
-/// a test with a random history, an experiment on a virtual clock.
+/// Inputs (events) and outputs (commands) of the decision core. Both are
+/// plain values, so that any driver can run the core: the daemon, a test with
+/// a random history, a simulation on a virtual clock.
 #pragma once
 
 #include "pepperturn/core/deployment.hpp"
@@ -14,9 +14,9 @@
 
 // ---- events --------------------------------------------------------------
 
-/// An entry VM brings a call. `m_adopted` is set if it used a grant of an
-/// earlier owner; without it the entry VM holds no grant for the call and
-/// refuses any that may still arrive.
+/// An entry VM submits a call. `m_adopted_report` is set if the entry VM used
+/// a grant of an earlier owner. If it is unset, the entry VM holds no grant
+/// for the call and declines any that may still arrive.
 struct call_submitted
 {
     call_request m_request;
@@ -28,7 +28,7 @@
     call_report m_report;
 };
 
-/// A caller gave up. Its call goes on if it was sent.
+/// The caller disconnected. Its call continues if it was already sent.
 struct caller_disconnected
 {
     call_id m_call;
@@ -41,7 +41,7 @@
     program_key m_key;
 };
 
-/// `m_outcome` is what an operator found out about an unknown call.
+/// An operator or caller resolves a call of unknown outcome to `m_outcome`.
 struct resolve_requested
 {
     call_id m_call;
@@ -56,9 +56,9 @@
     created,
     /// The key exists; `m_existing` holds it.
     exists,
-    /// Entries were compacted past this writer: it has been fenced.
+    /// The manifest changed since the writer read it: it has been fenced.
     stale_manifest,
-    /// No answer: the write may or may not have taken effect.
+    /// No reply: the write may or may not have taken effect.
     unknown
 };
 
@@ -73,21 +73,21 @@
 /// Everything needed to rebuild a partition.
 struct log_image
 {
-    /// Entries up to this are inside `m_snapshot`.
+    /// Entries up to this sequence number are included in `m_snapshot`.
     std::uint64_t m_covers = 0;
     std::uint64_t m_manifest_revision = 0;
     std::vector<record> m_snapshot;
     std::map<std::uint64_t, batch> m_entries;
 };
 
-/// Absent image: the store did not answer.
+/// The image is absent if the store did not reply.
 struct log_read_completed
 {
     std::uint32_t m_partition = 0;
     std::optional<log_image> m_image;
 };
 
-/// `m_manifest_revision` is valid if `m_written`.
+/// `m_manifest_revision` is valid if `m_status` is `created`.
 struct snapshot_write_completed
 {
     std::uint32_t m_partition = 0;
@@ -96,7 +96,7 @@
     std::uint64_t m_manifest_revision = 0;
 };
 
-/// A runner's own, lagging account of its load.
+/// A runner's report of its load; it lags behind the actual load.
 struct load_reported
 {
     std::string m_runner;
@@ -104,7 +104,7 @@
     std::uint32_t m_running = 0;
     std::uint32_t m_queued = 0;
     std::uint64_t m_queued_tokens = 0;
-    /// How old the figures were when they arrived.
+    /// Age of the figures when they arrived.
     milliseconds m_age{0};
 };
 
@@ -114,9 +114,9 @@
     std::string m_cache_key;
 };
 
-/// Cache events of a runner were lost. A restarted runner holds nothing; a
-/// few lost evictions leave most of what is believed right, see
-/// docs/design/scheduling.md for the figures.
+/// Cache events of a runner were lost. A restarted runner has an empty cache;
+/// after a few lost evictions most of the estimated cache content is still
+/// right (docs/design/scheduling.md has the figures).
 struct cache_gap
 {
     std::string m_runner;
@@ -130,7 +130,7 @@
     bool m_acknowledged = false;
 };
 
-/// The platform's lagging list.
+/// The platform's list of VMs; it lags behind the actual state.
 struct vms_listed
 {
     std::vector<vm_info> m_vms;
@@ -160,7 +160,7 @@
     deployment m_deployment;
 };
 
-/// Planned stop: hand everything over.
+/// Planned stop: hand over all partitions.
 struct stop_requested
 {};
 
@@ -180,7 +180,7 @@
     decision m_decision;
 };
 
-/// Ask the entry VM to cancel an attempt at the engine.
+/// Request that the entry VM cancel an attempt at the engine.
 struct cancel_attempt
 {
     std::string m_entry_vm;
@@ -188,19 +188,20 @@
     std::uint32_t m_attempt = 0;
 };
 
-/// Create log entry `m_seq` if it is absent and no snapshot was taken since.
+/// Create log entry `m_seq` if it is absent and the manifest is unchanged.
 struct create_entry
 {
     std::uint32_t m_partition = 0;
     std::uint64_t m_seq = 0;
     std::uint64_t m_manifest_revision = 0;
     batch m_batch;
-    /// Formed after the owner began to doubt that it still is the owner.
+    /// Created after the ownership became unconfirmed, so that its commit
+    /// confirms it.
     bool m_confirms = false;
 };
 
-/// Entries of several partitions, made in one transaction so that a VM pays
-/// the store one write for all of them.
+/// Entries of several partitions, created in one transaction so that they
+/// count as one write to the store.
 struct create_entries
 {
     std::vector<create_entry> m_entries;
@@ -230,7 +231,7 @@
     std::string m_runner;
     std::string m_address;
     program_key m_key;
-    /// Fencing number; engines that check refuse older ones.
+    /// Fencing token; engines that check it reject older ones.
     std::uint64_t m_epoch = 0;
 };
 
--- a/include/pepperturn/core/prediction.hpp
+++ b/include/pepperturn/core/prediction.hpp
@@ -1,31 +1,32 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What a call would cost on a runner, from lagging reports corrected by own
-/// sends. docs/design/scheduling.md has the figures behind it.
+/// Predicts the cost of a call on a runner from the runner's delayed load
+/// reports, corrected by the attempts this VM has sent since.
+/// docs/design/scheduling.md has the measurements behind it.
 #pragma once
 
 #include "pepperturn/core/tables.hpp"
 
 namespace pepperturn::detail {
 
-/// A runner that may take a call, and what that would cost, in seconds.
+/// A runner that may serve a call, and the predicted cost, in seconds.
 struct candidate
 {
     runner_row* m_runner = nullptr;
     double m_wait = 0;
-    /// Ranks the candidates; prefill to be done again counts extra.
+    /// Ranks the candidates; repeated prefill is weighted higher.
     double m_finish = 0;
     std::uint32_t m_cached = 0;
 };
 
-/// Our own calls in flight plus what others had there when it reported.
+/// This VM's calls in flight plus those of other VMs in the last report.
 [[nodiscard]] std::uint32_t estimated_load(const runner_row& runner);
 
-/// Reachable, not leaving, and not avoided after a failure.
+/// Reachable, not leaving, and not in back-off after a failure.
 [[nodiscard]] bool is_usable(const core_state& state, const runner_row& runner);
 
-/// May the runner be given work now? False while this VM, after a pause, has
-/// not heard of the runners again.
+/// Whether calls may be sent to the runner now. False after a pause of this
+/// VM until it has received a new list.
 [[nodiscard]] bool runner_usable(const core_state& state,
                                  const std::string& name);
 
@@ -37,7 +38,7 @@
 [[nodiscard]] double predicted_wait(const core_state& state,
                                     const std::string& upstream);
 
-/// Tokens of the session's history that \p runner is believed to hold.
+/// Estimated tokens of the session's history in the cache of \p runner.
 [[nodiscard]] std::uint32_t estimated_cached_tokens(const runner_row& runner,
                                                     const session_row& session);
 
--- a/include/pepperturn/core/records.hpp
+++ b/include/pepperturn/core/records.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The records of a partition's log. Replaying them rebuilds every durable
-/// row; a snapshot is the shortest list of records that does the same.
+/// The records of a partition's log. Replaying them rebuilds all durable
+/// rows; a snapshot is the shortest list of records that rebuilds the same.
 #pragma once
 
 #include "pepperturn/core/types.hpp"
@@ -10,7 +10,7 @@
 
 namespace pepperturn {
 
-/// First record of an owner's term; creating it fences every earlier owner.
+/// First record of an owner's term; creating it fences all earlier owners.
 struct takeover_record
 {
     std::string m_vm;
@@ -19,7 +19,7 @@
                            const takeover_record&) = default;
 };
 
-/// A granted call whose result its entry VM will bring to the next owner.
+/// A granted call whose result its entry VM will send to the next owner.
 struct in_flight_call
 {
     call_id m_call;
@@ -30,8 +30,8 @@
                            const in_flight_call&) = default;
 };
 
-/// Last record of a term that ended as planned: what is left of reserved
-/// budget has been given back before it.
+/// Last record of a term that ended in a planned handoff. Unused budget
+/// reservations have been released by the records before it.
 struct handoff_record
 {
     std::string m_vm;
@@ -41,18 +41,19 @@
                            const handoff_record&) = default;
 };
 
-/// A program exists, with its budget; repeated to extend its reservation and
-/// in snapshots. Amounts are tokens and cumulative.
+/// Creates a program with its budget; repeated to extend its reservation and
+/// in snapshots. Amounts are cumulative, in tokens.
 struct program_record
 {
     program_key m_key;
     std::uint64_t m_budget = 0;
     std::uint64_t m_spent = 0;
-    /// Sends are covered up to this; beyond it nothing may be sent.
+    /// Calls may be sent only while their total cost stays within this.
     std::uint64_t m_reserved = 0;
     std::uint64_t m_opened_epoch = 0;
     bool m_ended = false;
-    /// Runners that hold its prefixes, until each has acknowledged a release.
+    /// Runners that cache its prefixes; removed once they acknowledge a
+    /// release.
     std::set<std::string> m_holders;
     friend bool operator==(const program_record&,
                            const program_record&) = default;
@@ -71,7 +72,7 @@
                            const started_record&) = default;
 };
 
-/// A call is over and its turn is part of the session's history.
+/// A call has ended and its turn is part of the session's history.
 struct ended_record
 {
     call_id m_call;
@@ -90,7 +91,7 @@
     friend bool operator==(const ended_record&, const ended_record&) = default;
 };
 
-/// An operator or caller has said what became of an `unknown` call.
+/// An operator or caller has resolved the outcome of an `unknown` call.
 struct resolved_record
 {
     session_key m_session;
@@ -100,7 +101,7 @@
                            const resolved_record&) = default;
 };
 
-/// A runner has given back the memory it held for an ended program.
+/// A runner has released the memory of an ended program.
 struct released_record
 {
     program_key m_key;
@@ -116,7 +117,7 @@
 /// One entry of the log.
 struct batch
 {
-    /// Tells a writer's own entry from another's after a lost answer.
+    /// Distinguishes a writer's own entry from another's after a lost reply.
     std::uint64_t m_nonce = 0;
     std::uint64_t m_epoch = 0;
     std::vector<record> m_records;
--- a/include/pepperturn/core/scheduler.hpp
+++ b/include/pepperturn/core/scheduler.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The decision core of one VM: tables of entities and the systems that run
-/// over them. No I/O, no threads, no clock of its own.
+/// The decision core of one VM: tables of entities and the functions
+/// ("systems") that update them. No I/O, no threads, no clock of its own.
 #pragma once
 
 #include "pepperturn/core/tables.hpp"
@@ -14,18 +14,19 @@
     /// \param self        this VM's id
     /// \param incarnation differs for each start of the process
     /// \param partitions  deployment constant
-    /// \param seed        fixes every random choice
+    /// \param seed        seeds all random choices
     scheduler(std::string self, std::uint64_t incarnation,
               std::uint32_t partitions, const clock& time, std::uint64_t seed);
 
-    /// Takes one event; call tick() afterwards for its consequences.
+    /// Applies one event; call tick() afterwards to get the resulting
+    /// commands.
     void handle(const event& input);
 
-    /// Runs the systems over the rows that changed; returns what to do.
+    /// Runs all systems; returns the commands to carry out.
     [[nodiscard]] command_list tick();
 
-    /// Replaces the policy; facts of waiting calls are judged anew when they
-    /// next change.
+    /// Replaces the policy. Queued calls keep the priority class that they
+    /// were queued with.
     void set_policy(policy replacement);
 
     [[nodiscard]] const core_state& state() const
@@ -33,7 +34,7 @@
         return m_state;
     }
     [[nodiscard]] heartbeat make_heartbeat() const;
-    /// True once a planned stop has handed everything over.
+    /// True once a planned stop has handed over all partitions.
     [[nodiscard]] bool handed_over() const;
 
 private:
--- a/include/pepperturn/core/systems.hpp
+++ b/include/pepperturn/core/systems.hpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
 /// The systems: free functions over the tables. Each reads the time from
-/// core_state::m_now, changes rows and appends commands; none does I/O.
+/// core_state::m_now, updates rows and appends commands; none does I/O.
 #pragma once
 
 #include "pepperturn/core/tables.hpp"
@@ -33,31 +33,33 @@
 void on_snapshot_write_completed(core_state& state,
                                  const snapshot_write_completed& answered,
                                  command_list& out);
-/// Writes what is pending, within the store's allowance.
+/// Writes pending records, within the store's write rate limit.
 void run_log_writer(core_state& state, command_list& out);
 /// Drops every row of a partition that this VM no longer owns.
 void drop_partition(core_state& state, partition_row& partition,
                     command_list& out);
 
-// ---- membership.cpp: who is alive, who should own -------------------------
+// ---- membership.cpp: liveness of VMs, partition owners
+// -------------------------
 
 void on_vms_listed(core_state& state, const vms_listed& listed);
 void on_heartbeat(core_state& state, const heartbeat& beat, command_list& out);
-/// Finds out whether this VM has just been paused.
+/// Detects that this VM has just been paused.
 void detect_pause(core_state& state, command_list& out);
 [[nodiscard]] bool vm_alive(const core_state& state, const std::string& vm);
 /// Rendezvous choice among live VMs that are not leaving.
 [[nodiscard]] std::string preferred_owner(const core_state& state,
                                           std::uint32_t partition);
-/// The VM that says in its heartbeats that it owns the partition, of the newest
-/// epoch if there are several; empty: none does.
+/// The VM whose heartbeats announce that it owns the partition, the one of the
+/// newest epoch if there are several; empty if none does.
 [[nodiscard]] std::string owner_by_heartbeats(const core_state& state,
                                               std::uint32_t partition);
-/// Whom to ask about a program: its owner as far as this VM knows, else who
-/// should own it; empty if no VM is known.
+/// The VM to send requests about a program to: its owner as far as this VM
+/// knows, else the preferred owner; empty if no VM is known.
 [[nodiscard]] std::string likely_owner(const core_state& state,
                                        const program_key& key);
-/// Claims ownerless partitions, hands over misplaced ones.
+/// Claims partitions without an owner; hands over those that another VM
+/// should own.
 void run_ownership(core_state& state, command_list& out);
 
 // ---- arrival.cpp: order of a session, duplicates ---------------------------
@@ -68,21 +70,21 @@
 void start_next_call(core_state& state, partition_row& partition,
                      const session_key& key, command_list& out);
 
-// ---- completion.cpp: reports, retries, the last word ------------------------
+// ---- completion.cpp: reports, retries, final results ------------------------
 
 void on_call_reported(core_state& state, const call_report& report,
                       command_list& out);
 void on_caller_disconnected(core_state& state, const call_id& call,
                             command_list& out);
 void count_outcome(core_state& state, outcome verdict);
-/// Says the last word to everyone who waits, and lets the session go on.
+/// Sends the final result to all waiters and starts the session's next call.
 void finish_call(core_state& state, call_row& call, answer reply,
                  command_list& out);
-/// Ends a call that nobody can send, and says so.
+/// Ends a call that nobody can send any more with `not_run`.
 void finish_not_run(core_state& state, call_row& call, int status,
                     const std::string& reason, milliseconds retry_after,
                     command_list& out);
-/// Ends a granted call whose result will not come.
+/// Ends a granted call whose report will not arrive.
 void end_without_report(core_state& state, call_row& call,
                         const std::string& reason, command_list& out);
 void redirect_call(core_state& state, call_row& call, command_list& out);
@@ -90,16 +92,16 @@
 // ---- commits.cpp
 // -------------------------------------------------------------
 
-/// Acts on a committed record.
+/// Runs the commit action of a committed record.
 void on_committed(core_state& state, partition_row& partition,
                   const pending_record& entry, command_list& out);
 
-// ---- upkeep.cpp: what becomes due without an event
+// ---- upkeep.cpp: timers and periodic checks
 // ---------------------------
 
 /// Ends calls whose deadline has passed.
 void run_deadlines(core_state& state, command_list& out);
-/// Dangling calls, idle programs, lost entry VMs, the state of the store.
+/// Checks dangling calls, idle programs, lost entry VMs and the store.
 void run_slow_scan(core_state& state, command_list& out);
 
 // ---- program_end.cpp
@@ -119,10 +121,10 @@
     refused
 };
 
-/// Sets the call's cost bound and holds it against the root's budget.
+/// Sets the call's cost bound and reserves it from the root's budget.
 [[nodiscard]] reservation
 reserve_budget(core_state& state, partition_row& partition, call_row& call);
-/// Gives a held reservation back, charging \p cost of it.
+/// Releases the call's reservation and charges \p cost.
 void settle_budget(core_state& state, partition_row& partition, call_row& call,
                    std::uint64_t cost);
 
@@ -132,7 +134,7 @@
 /// Queues a call for a runner in policy order.
 void enqueue_ready(core_state& state, call_row& call, command_list& out);
 void dequeue_ready(core_state& state, const call_row& call);
-/// Gives ready calls to runners.
+/// Assigns ready calls to runners.
 void run_routing(core_state& state, command_list& out);
 /// Sends a grant to the call's entry VM.
 void send_grant(core_state& state, call_row& call, command_list& out);
--- a/include/pepperturn/core/tables.hpp
+++ b/include/pepperturn/core/tables.hpp
@@ -13,14 +13,14 @@
 
 namespace pepperturn {
 
-/// Someone to answer.
+/// A call id that a result is to be sent to, and its entry VM.
 struct waiter
 {
     std::string m_entry_vm;
     call_id m_call;
 };
 
-/// What the owner remembers of one position in a session.
+/// What the owner stores about one position in a session.
 struct turn_row
 {
     std::uint64_t m_seq = 0;
@@ -31,16 +31,16 @@
     std::vector<message> m_messages;
     answer m_answer;
     bool m_repeatable = true;
-    /// `started` is in the log and no end is.
+    /// The log has a `started` record but no `ended` record.
     bool m_dangling = false;
 };
 
-/// Belief that a runner holds a session's prefix.
+/// Estimate that a runner has cached a session's prefix.
 struct cached_prefix
 {
     std::uint32_t m_tokens = 0;
     instant m_at{};
-    /// The runner's sent-token counter then; see runner_row::m_sent_tokens.
+    /// runner_row::m_sent_tokens at that time.
     std::uint64_t m_sent_mark = 0;
 };
 
@@ -59,9 +59,9 @@
     /// Calls that have arrived, by seq.
     std::map<std::uint64_t, call_id> m_calls;
     std::map<std::uint64_t, expected_call> m_expected;
-    /// The call at m_next_seq once begun.
+    /// The call at m_next_seq, once started.
     call_id m_active;
-    /// Tokens of the whole history, as the engines counted.
+    /// Tokens of the complete history, as counted by the engines.
     std::uint32_t m_history_tokens = 0;
     std::map<std::string, cached_prefix> m_prefixes;
     std::string m_last_runner;
@@ -74,7 +74,7 @@
     std::uint64_t m_reserved = 0;
     /// Reservation that the store has confirmed.
     std::uint64_t m_committed_reserved = 0;
-    /// Held by calls that are under way.
+    /// Reserved by calls that are in progress.
     std::uint64_t m_outstanding = 0;
     std::uint64_t m_opened_epoch = 0;
     bool m_recorded = false;
@@ -86,9 +86,9 @@
     instant m_last_active{};
     std::uint32_t m_live_calls = 0;
     std::uint64_t m_turn_count = 0;
-    /// Seconds of engine time the whole program has had.
+    /// Engine time that the whole program has received, in seconds.
     double m_attained = 0;
-    /// Who waits for the end to be committed.
+    /// Entry VMs and calls to be informed once the end is committed.
     std::vector<std::pair<std::string, call_id>> m_end_waiters;
 };
 
@@ -109,7 +109,7 @@
 
 [[nodiscard]] const char* to_string(call_state value);
 
-/// One line of what `explain` prints.
+/// One line of the output of `explain`.
 struct trace_step
 {
     instant m_at{};
@@ -134,7 +134,7 @@
     std::uint64_t m_cost_bound = 0;
     std::uint32_t m_prompt_tokens = 0;
     bool m_started = false;
-    /// An attempt may have reached its runner: never `not_run` any more.
+    /// An attempt may have reached its runner: `not_run` is ruled out.
     bool m_may_have_run = false;
     int m_class = 0;
     std::int64_t m_order_key = 0;
@@ -142,7 +142,7 @@
     bool m_answered_pending = false;
 };
 
-/// What happens once a record is in the log.
+/// Action to run once a record is committed.
 enum class commit_action : std::uint8_t
 {
     none,
@@ -197,11 +197,12 @@
     std::uint64_t m_known_epoch = 0;
     std::string m_handoff_to;
     instant m_imbalanced_since{};
-    /// Dangling calls become `unknown` unless their entry VM speaks up.
+    /// Dangling calls become `unknown` at this time unless their entry VM
+    /// reports or submits them again.
     instant m_dangling_due{};
     bool m_has_dangling = false;
-    /// Another VM may have taken over unnoticed: nothing is granted until
-    /// the store has taken one more entry.
+    /// Another VM may have taken over: no call is granted until the store
+    /// has committed one more entry of this owner.
     bool m_unconfirmed = false;
     bool m_has_expected = false;
     std::map<program_key, program_row> m_programs;
@@ -211,7 +212,7 @@
 {
     call_id m_call;
     instant m_sent{};
-    /// Unset while under way.
+    /// Unset while in progress.
     std::optional<instant> m_ended;
     std::uint32_t m_prefill_tokens = 0;
     std::uint32_t m_decode_tokens = 0;
@@ -228,7 +229,7 @@
     std::deque<sent_attempt> m_attempts;
     std::uint32_t m_in_flight = 0;
     std::uint64_t m_sent_tokens = 0;
-    /// When the prefill of all that was sent should be done.
+    /// Predicted time at which the prefill of all sent calls completes.
     instant m_prefill_free_at{};
     instant m_cache_reset_at{};
     /// Exponentially weighted output length of its calls, in tokens.
@@ -277,15 +278,16 @@
     bool m_stopping = false;
     bool m_listed_once = false;
     instant m_last_tick{};
-    /// Set when this VM finds that it has not run for a while: what it knows
-    /// of runners may be old, so nothing is sent until it has heard again.
+    /// Set when this VM detects that it was paused: its information about
+    /// runners may be outdated, so no call is sent until it has received a
+    /// new list or a timeout passes.
     std::optional<instant> m_resumed_at;
     std::vector<partition_row> m_partitions;
     std::unordered_map<call_id, call_row> m_calls;
     std::map<std::string, runner_row> m_runners;
     /// Runner names by upstream.
     std::map<std::string, std::vector<std::string>> m_runners_by_upstream;
-    /// Calls waiting for a runner: upstream -> (order key, arrival no.).
+    /// Calls waiting for a runner: upstream -> (order key, arrival number).
     std::map<std::string,
              std::map<std::pair<std::int64_t, std::uint64_t>, call_id>>
         m_ready;
@@ -308,7 +310,7 @@
     instant m_next_slow_scan{};
     core_counters m_counters;
     std::mt19937_64 m_random;
-    /// Last explained calls, oldest first.
+    /// Traces of the most recent calls; m_trace_order has the oldest first.
     std::unordered_map<call_id, std::vector<trace_step>> m_traces;
     std::deque<call_id> m_trace_order;
 };
--- a/include/pepperturn/core/types.hpp
+++ b/include/pepperturn/core/types.hpp
@@ -15,8 +15,8 @@
 
 namespace pepperturn {
 
-/// What became of a call. `not_run` is said only when nobody can send it any
-/// more; whatever is in doubt is `unknown`.
+/// Outcome of a call. `not_run` is reported only if nobody can send the call
+/// any more; if that is uncertain, the outcome is `unknown`.
 enum class outcome : std::uint8_t
 {
     ran,
@@ -67,7 +67,7 @@
     friend bool operator==(const message&, const message&) = default;
 };
 
-/// A call as its entry VM understood it.
+/// A call as parsed by its entry VM.
 struct call_request
 {
     call_id m_id;
@@ -83,16 +83,17 @@
     std::string m_method;
     std::string m_path;
     std::string m_body;
-    /// New messages only; the owner holds the history.
+    /// New messages only; the owner stores the history.
     std::vector<message> m_messages;
     std::uint32_t m_max_tokens = 0;
-    /// How long the caller waits for a start before it wants `not_run`.
+    /// Maximum wait for the start of the call; after it the call ends as
+    /// `not_run`.
     milliseconds m_queue_timeout{0};
 
     friend bool operator==(const call_request&, const call_request&) = default;
 };
 
-/// Identifies the request's content, for duplicates of a past `seq`.
+/// Digest of the request's content, to detect duplicates of a past `seq`.
 [[nodiscard]] std::uint64_t digest_of(const call_request& request);
 
 /// Permission to send one call once, made by the partition's owner and used
@@ -106,18 +107,18 @@
     std::uint64_t m_seq = 0;
     std::string m_runner;
     std::string m_address;
-    /// Names the engine memory the call fills; released with the program.
+    /// Names the engine memory that the call uses; released with the program.
     std::string m_cache_key;
     std::vector<message> m_prompt;
     std::uint32_t m_max_tokens = 0;
-    /// Lower goes first, as the engines read it.
+    /// Lower values run first, as engines interpret it.
     std::int64_t m_priority = 0;
     milliseconds m_timeout{0};
 
     friend bool operator==(const grant&, const grant&) = default;
 };
 
-/// The last word on a call.
+/// The final result of a call.
 struct answer
 {
     call_id m_call;
@@ -131,20 +132,20 @@
     std::uint32_t m_prompt_tokens = 0;
     std::uint32_t m_cached_tokens = 0;
     std::uint32_t m_output_tokens = 0;
-    /// Answered during a store outage; not yet committed.
+    /// Sent during a store outage; not yet committed.
     bool m_pending = false;
-    /// When asking again makes sense; zero: no hint.
+    /// Suggested delay before a retry; zero: no suggestion.
     milliseconds m_retry_after{0};
 
     friend bool operator==(const answer&, const answer&) = default;
 };
 
-/// The VM asked does not own the partition.
+/// Reply of a VM that does not own the partition.
 struct redirect
 {
     call_id m_call;
     std::uint32_t m_partition = 0;
-    /// Empty: not known yet, ask again shortly.
+    /// Empty: not known yet, retry shortly.
     std::string m_owner_vm;
 
     friend bool operator==(const redirect&, const redirect&) = default;
@@ -152,18 +153,18 @@
 
 using decision = std::variant<grant, answer, redirect>;
 
-/// How far an attempt got.
+/// How far an attempt progressed.
 enum class attempt_end : std::uint8_t
 {
     /// No byte left the entry VM.
     not_sent,
-    /// Sent; no complete reply came.
+    /// Sent, but no complete response arrived.
     aborted,
-    /// A complete reply with its end marker.
+    /// A complete response with its end marker arrived.
     complete
 };
 
-/// What an entry VM says of a grant it used.
+/// An entry VM's report of a grant that it used.
 struct call_report
 {
     call_id m_call;
@@ -177,16 +178,16 @@
     std::uint32_t m_prompt_tokens = 0;
     std::uint32_t m_cached_tokens = 0;
     std::uint32_t m_output_tokens = 0;
-    /// The caller has seen part of the reply, so another attempt cannot help.
+    /// The caller has received part of the response, so a retry is useless.
     bool m_no_retry = false;
 
     friend bool operator==(const call_report&, const call_report&) = default;
 };
 
-/// A report on \p permit that says nothing yet: cut, without a reply.
+/// An initial report for \p permit: aborted, without a response.
 [[nodiscard]] call_report report_for(const grant& permit);
 
-/// The program made for a call that named none; it ends with the call.
+/// The program created for a call that named none; it ends with the call.
 [[nodiscard]] program_key one_off_program(const std::string& workspace,
                                           const call_id& call);
 [[nodiscard]] bool is_one_off(const program_key& key);
@@ -195,11 +196,11 @@
 [[nodiscard]] std::uint32_t partition_of(const program_key& key,
                                          std::uint32_t partitions);
 
-/// The name under which engines hold a session's prefix.
+/// The name under which engines cache a session's prefix.
 [[nodiscard]] std::string cache_key_of(const session_key& key);
 
-/// What every cache key of a program starts with; for a root program it
-/// covers its sub-agents too, also those that no log names.
+/// Common prefix of a program's cache keys. For a root program it covers its
+/// sub-agents too, including those that no log records.
 [[nodiscard]] std::string cache_prefix_of(const program_key& key);
 
 /// The session whose prefix \p cache_key names; empty if it is malformed.
@@ -214,13 +215,14 @@
 [[nodiscard]] call_id make_call_id(const std::string& vm,
                                    std::uint64_t incarnation,
                                    std::uint64_t number);
-/// The entry VM that made the id.
+/// The entry VM that created the id.
 [[nodiscard]] std::string entry_of(const call_id& call);
 /// The incarnation of that entry VM; 0 if the id is malformed.
 [[nodiscard]] std::uint64_t incarnation_of(const call_id& call);
 
-/// Upper bound on the tokens of \p text: engines never make more tokens than
-/// bytes, so a bound that holds for any tokenizer costs some budget headroom.
+/// Upper bound on the tokens of a text of \p bytes: tokenizers never produce
+/// more tokens than bytes. It holds for any tokenizer, at the cost of some
+/// budget headroom.
 [[nodiscard]] std::uint32_t token_bound(std::size_t bytes);
 
 } // namespace pepperturn
--- a/include/pepperturn/entry/entry_table.hpp
+++ b/include/pepperturn/entry/entry_table.hpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// The entry VM's side of a call: brings it to the partition's owner, uses
-/// the grant once, streams to the caller, and brings the result back. Loop
-/// thread only, but for call_sink.
+/// The entry VM's side of a call: submits it to the partition's owner, uses
+/// the grant once, streams the response to the caller, and reports the result
+/// to the owner. Event loop thread only, except for call_sink.
 #pragma once
 
 #include "pepperturn/core/events.hpp"
@@ -13,23 +13,23 @@
 
 namespace pepperturn {
 
-/// Empty: the owner could not be asked, or did not answer.
+/// The decision is empty if the owner was unreachable or did not reply.
 using decision_callback = std::function<void(std::optional<decision>)>;
 using report_callback = std::function<void(call_report)>;
 
-/// Where the caller's reply goes. Thread-safe.
+/// Receives the response for the caller. Thread-safe.
 class call_sink
 {
 public:
     virtual ~call_sink() = default;
-    /// False if the caller is gone.
+    /// False if the caller has disconnected.
     virtual bool on_token(const std::string& text) = 0;
     virtual void on_answer(const answer& reply) = 0;
-    /// Whether tokens are shown as they come.
+    /// Whether tokens are sent to the caller as they arrive.
     [[nodiscard]] virtual bool streams() const = 0;
 };
 
-/// What the entry role needs from its VM.
+/// The services of the VM that the entry role uses.
 class entry_port
 {
 public:
@@ -42,12 +42,13 @@
     virtual void submit_to(const std::string& vm,
                            const call_submitted& submitted,
                            decision_callback done) = 0;
-    /// Sends the call to the grant's runner. \p on_token gets text as it
-    /// comes, on any thread; \p done the report, once, on the loop thread.
+    /// Sends the call to the grant's runner. \p on_token receives text as it
+    /// arrives, on any thread; \p done receives the report, once, on the loop
+    /// thread.
     virtual void send(const grant& permit, const call_request& request,
                       std::function<void(const std::string&)> on_token,
                       report_callback done) = 0;
-    /// Asks the engine to stop an attempt.
+    /// Requests that the engine stop an attempt.
     virtual void cancel_sent(const grant& permit) = 0;
 };
 
@@ -57,12 +58,13 @@
     explicit entry_table(entry_port& port);
 
     void start(const call_request& request, std::shared_ptr<call_sink> sink);
-    /// Stops an attempt at the engine, as its owner asks.
+    /// Stops an attempt at the engine, on request of the owner.
     void cancel(const call_id& call, std::uint32_t attempt);
-    /// Asks again where an owner is gone; gives up where none was found.
+    /// Resubmits calls whose owner is no longer reachable; abandons calls
+    /// whose deadline has passed.
     void tick();
 
-    /// Where a call stands, for operators; empty if it is not here.
+    /// State of a call, for operators; empty if this VM does not have it.
     [[nodiscard]] std::string describe(const call_id& call) const;
 
     [[nodiscard]] std::size_t size() const
@@ -75,7 +77,7 @@
     {
         call_request m_request;
         std::shared_ptr<call_sink> m_sink;
-        /// Answers to earlier questions are ignored.
+        /// Incremented per submission; replies to earlier ones are ignored.
         std::uint32_t m_generation = 0;
         std::string m_target_vm;
         std::string m_owner_hint;
@@ -92,13 +94,14 @@
     void submit(const call_id& id, row& entry);
     void on_decision(const call_id& id, std::uint32_t generation,
                      const std::optional<decision>& made);
-    /// Tells an owner that nobody uses its grant: the call is over here.
+    /// Reports to an owner that its grant is not used, since the call has
+    /// ended here.
     void decline_grant(const std::string& vm, const call_request& request,
                        const grant& permit);
     void use_grant(const call_id& id, row& entry, const grant& permit);
     void on_report(const call_id& id, call_report report);
     void finish(const call_id& id, const answer& reply);
-    /// This VM has not run for so long that owners may think it dead.
+    /// This VM was paused for so long that owners may treat it as failed.
     [[nodiscard]] bool was_paused() const;
     void abandon(const call_id& id, row& entry);
 
--- a/include/pepperturn/policy/policy.hpp
+++ b/include/pepperturn/policy/policy.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// What a policy decides, and the facts it decides on.
+/// The decisions that a policy makes, and their inputs.
 #pragma once
 
 #include "pepperturn/core/types.hpp"
@@ -25,7 +25,7 @@
     std::string m_runner_zone;
 };
 
-/// A policy as plain functions. Lower priority classes go first.
+/// A policy as plain functions. Lower priority classes run first.
 struct policy
 {
     std::uint64_t m_revision = 0;
@@ -35,7 +35,7 @@
     std::function<bool(const policy_facts&)> m_allow;
 };
 
-/// Class 0 for all, the workspace's budget, every runner.
+/// Priority class 0 for all calls, the workspace's budget, all runners.
 [[nodiscard]] policy default_policy();
 
 } // namespace pepperturn
