--- a/include/pepperturn/core/tables.hpp
+++ b/include/pepperturn/core/tables.hpp
@@ -276,7 +276,7 @@
     deployment m_deployment;
     policy m_policy;
     bool m_stopping = false;
-    bool m_listed_once = false;
+    bool m_vms_listed = false;
     instant m_last_tick{};
     /// Set when this VM detects that it was paused: its information about
     /// runners may be outdated, so no call is sent until it has received a
@@ -298,7 +298,7 @@
     std::set<std::pair<std::uint32_t, program_key>> m_releasing;
     instant m_next_release{};
     std::pair<std::uint32_t, program_key> m_release_cursor;
-    instant m_next_doubt{};
+    instant m_next_isolation_check{};
     instant m_next_ownership{};
     std::unordered_map<std::string, std::size_t> m_round_robin;
     std::uint64_t m_arrivals = 0;
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -144,7 +144,7 @@
 void idle_step(core_state& state, partition_row& partition, command_list& out)
 {
     const bool settled =
-        state.m_listed_once && state.m_now - state.m_started >= settle_time;
+        state.m_vms_listed && state.m_now - state.m_started >= settle_time;
     if (!settled || state.m_stopping || state.m_now < partition.m_retry_at)
         return;
     if (preferred_owner(state, partition.m_id) != state.m_self)
@@ -158,9 +158,9 @@
 void doubt_when_isolated(core_state& state)
 {
     constexpr milliseconds interval{1000};
-    if (state.m_now < state.m_next_doubt)
+    if (state.m_now < state.m_next_isolation_check)
         return;
-    state.m_next_doubt = state.m_now + interval;
+    state.m_next_isolation_check = state.m_now + interval;
     bool others = false;
     bool heard = false;
     for (const auto& [id, row] : state.m_vms)
@@ -283,7 +283,7 @@
 
 void on_vms_listed(core_state& state, const vms_listed& listed)
 {
-    state.m_listed_once = true;
+    state.m_vms_listed = true;
     state.m_resumed_at.reset();
     for (auto& [id, row] : state.m_vms)
         row.m_listed = id == state.m_self;
