--- a/include/pepperturn/core/deployment.hpp
+++ b/include/pepperturn/core/deployment.hpp
@@ -101,8 +101,8 @@
     /// calls there and evicts their prefixes.
     double m_recompute_weight = 30;
     std::uint32_t m_max_attempts = 3;
-    /// Retry budget: retries allowed per first attempt, which bounds the load
-    /// that retries add to the runners.
+    /// Retry budget: retries earned by each completed call, which bounds the
+    /// load that retries add to the runners.
     double m_retry_ratio = 0.2;
     std::uint64_t m_seq_window = 16;
     std::size_t m_retained_answers = 256;
--- a/src/core/apply.cpp
+++ b/src/core/apply.cpp
@@ -12,8 +12,8 @@
     return status >= 200 && status < 300;
 }
 
-/// Whatever an earlier owner had reserved may have been sent, so it counts
-/// as spent from here on.
+/// Calls covered by an earlier owner's reservation may have been sent, so the
+/// whole reservation is charged.
 void charge_unsettled(partition_row& partition)
 {
     for (auto& [key, row] : partition.m_programs)
@@ -213,7 +213,7 @@
     std::vector<record> out;
     out.emplace_back(
         takeover_record{partition.m_known_owner, partition.m_epoch});
-    // Programs first: their turns then count towards an existing root.
+    // Programs first, so that turns are counted for an existing root.
     for (const auto& [key, row] : partition.m_programs)
     {
         if (row.m_recorded || row.m_ended)
--- a/src/core/arrival.cpp
+++ b/src/core/arrival.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Arrival of calls: whose they are, duplicates, and the order of a session.
+// Arrival of calls: redirects to the owner, duplicates, and the order of a
+// session.
 #include "pepperturn/core/systems.hpp"
 
 #include <algorithm>
@@ -43,9 +44,9 @@
     out.emplace_back(send_decision{request.m_entry_vm, std::move(reply)});
 }
 
-/// Ends the call with a result that another owner's grant may have brought.
-void take_result(core_state& state, call_row& call, call_report report,
-                 command_list& out)
+/// Ends the call with a result that may come from another owner's grant.
+void apply_result(core_state& state, call_row& call, call_report report,
+                  command_list& out)
 {
     if (call.m_state == call_state::ready)
         dequeue_ready(state, call);
@@ -58,21 +59,21 @@
     on_call_reported(state, report, out);
 }
 
-/// The same entry VM brings a call that this owner already has.
+/// The same entry VM submits a call that this owner already has.
 void resubmitted(core_state& state, call_row& call,
                  const call_submitted& submitted, command_list& out)
 {
     if (submitted.m_adopted_report)
     {
-        // Entry VMs run one grant at a time, so this is the last one's end,
-        // whichever owner gave it.
+        // Entry VMs use one grant at a time, so this is the result of the last
+        // one, whichever owner issued it.
         const auto& report = *submitted.m_adopted_report;
         const bool ends_it = call.m_state == call_state::granted ||
                              report.m_end == attempt_end::complete;
         if (call.m_state == call_state::ending)
             return;
         if (ends_it)
-            take_result(state, call, report, out);
+            apply_result(state, call, report, out);
         else if (report.m_no_retry)
             finish_not_run(state, call, status_gone,
                            "withdrawn by its entry VM", milliseconds{0}, out);
@@ -80,12 +81,13 @@
     }
     if (call.m_state != call_state::granted)
         return;
-    // It says that it holds no grant, so the last one was lost on the way.
+    // The entry VM holds no grant, so the last one was lost in transit.
     trace(state, call.m_request.m_id, "grant sent again");
     send_grant(state, call, out);
 }
 
-/// Waits for the result of a grant that the last owner handed over.
+/// Joins the waiters for the result of a call that the last owner granted and
+/// handed over; false if no such call matches.
 bool joined_expected(core_state& state, session_row* session,
                      const call_request& request)
 {
@@ -113,7 +115,7 @@
     return true;
 }
 
-/// True if the request was one that is already known, and was dealt with.
+/// True if the request is a duplicate of \p turn and has been handled.
 bool is_duplicate_of(core_state& state, session_row& session,
                      const turn_row& turn, const call_submitted& submitted,
                      command_list& out)
@@ -135,9 +137,9 @@
         return true;
     }
     const bool same_call = turn.m_call == request.m_id;
-    const bool in_doubt =
+    const bool is_unresolved =
         turn.m_dangling || turn.m_answer.m_outcome == outcome::unknown;
-    if (in_doubt && same_call)
+    if (is_unresolved && same_call)
         return false;
     if (turn.m_dangling && joined_expected(state, &session, request))
         return true;
@@ -172,9 +174,10 @@
     return nullptr;
 }
 
-/// A call of the session that is under way and is the same request.
-call_row* find_live_twin(core_state& state, const session_row& session,
-                         const call_request& request)
+/// A call of the session in progress with the request's seq or idempotency
+/// key.
+call_row* find_active_duplicate(core_state& state, const session_row& session,
+                                const call_request& request)
 {
     for (const auto& [seq, id] : session.m_calls)
     {
@@ -191,7 +194,7 @@
     return nullptr;
 }
 
-/// The program's first unrepeatable call whose outcome nobody knows.
+/// The program's first unrepeatable call whose outcome is unknown.
 const turn_row* find_unresolved(const partition_row& partition,
                                 const program_key& key)
 {
@@ -215,10 +218,10 @@
     return nullptr;
 }
 
-/// A grant of an earlier owner reached an engine after the program's end:
-/// what it left there is released too.
-void note_late_holder(core_state& state, partition_row& partition,
-                      const call_submitted& submitted)
+/// A grant of an earlier owner was used after the program's end: the memory
+/// that it filled at the engine is released too.
+void record_late_holder(core_state& state, partition_row& partition,
+                        const call_submitted& submitted)
 {
     const auto& key = submitted.m_request.m_session.m_program;
     auto* root = find_root(partition, key);
@@ -231,12 +234,12 @@
     state.m_releasing.emplace(partition.m_id, root_key);
 }
 
-/// Checks that need no row of the call's own; true if it was rejected.
+/// Checks that need only the program's rows; true if the call was rejected.
 bool rejected_by_program(core_state& state, partition_row& partition,
                          const call_submitted& submitted, command_list& out)
 {
     const auto& request = submitted.m_request;
-    // A call that another owner's grant let through may have run.
+    // A call that was sent with another owner's grant may have run.
     const auto verdict =
         submitted.m_adopted_report &&
                 submitted.m_adopted_report->m_end != attempt_end::not_sent
@@ -303,8 +306,8 @@
         pending > state.m_deployment.m_limits.m_pending_bytes)
     {
         reject(state, request, status_unavailable,
-               "the store is down and too much waits for it", out,
-               outcome::not_run, short_retry);
+               "the store is down and its pending records exceed the limit",
+               out, outcome::not_run, short_retry);
         return true;
     }
     return false;
@@ -397,20 +400,21 @@
     return call;
 }
 
-/// The same request came again through another VM while the result of an
-/// earlier owner's grant was on its way: the result serves both.
-void complete_twin(core_state& state, call_row& twin,
-                   const call_request& request, const call_report& report,
-                   command_list& out)
+/// The same request arrived through another VM as well, while the result of an
+/// earlier owner's grant was in transit: the result completes both.
+void complete_duplicate(core_state& state, call_row& duplicate,
+                        const call_request& request, const call_report& report,
+                        command_list& out)
 {
-    twin.m_waiters.push_back({request.m_entry_vm, request.m_id});
+    duplicate.m_waiters.push_back({request.m_entry_vm, request.m_id});
     if (report.m_end != attempt_end::complete ||
-        twin.m_state == call_state::ending)
+        duplicate.m_state == call_state::ending)
         return;
-    take_result(state, twin, report, out);
+    apply_result(state, duplicate, report, out);
 }
 
-/// A grant of an earlier owner was used; its result becomes a turn here.
+/// A grant of an earlier owner was used; its result becomes a turn of this
+/// owner's log.
 void adopt(core_state& state, partition_row& partition,
            const call_submitted& submitted, command_list& out)
 {
@@ -420,20 +424,20 @@
     const std::uint64_t next = session == nullptr ? 1 : session->m_next_seq;
     const turn_row* turn =
         session == nullptr ? nullptr : find_turn(*session, request);
-    const bool repairs = turn != nullptr && turn->m_call == request.m_id;
-    auto* twin = session == nullptr || !request.m_repeatable
-                     ? nullptr
-                     : find_live_twin(state, *session, request);
-    if (twin != nullptr && twin->m_digest == digest_of(request) &&
-        twin->m_seq == next)
+    const bool ends_dangling = turn != nullptr && turn->m_call == request.m_id;
+    auto* duplicate = session == nullptr || !request.m_repeatable
+                          ? nullptr
+                          : find_active_duplicate(state, *session, request);
+    if (duplicate != nullptr && duplicate->m_digest == digest_of(request) &&
+        duplicate->m_seq == next)
     {
-        complete_twin(state, *twin, request, report, out);
+        complete_duplicate(state, *duplicate, request, report, out);
         return;
     }
     const bool is_next =
         request.m_seq ? *request.m_seq == next : turn == nullptr;
     const bool free = session == nullptr || session->m_active.empty();
-    if (!repairs && !(is_next && free && request.m_repeatable))
+    if (!ends_dangling && !(is_next && free && request.m_repeatable))
     {
         reject(state, request, status_conflict,
                "ran under an earlier owner; the session has moved on", out,
@@ -441,14 +445,14 @@
         return;
     }
     auto copy = request;
-    copy.m_seq = repairs ? turn->m_seq : next;
+    copy.m_seq = ends_dangling ? turn->m_seq : next;
     auto& call = insert_call(state, partition, copy);
     auto& row = partition.m_programs.at(request.m_session.m_program)
                     .m_sessions[request.m_session.m_session];
     if (call.m_seq == row.m_next_seq)
         row.m_active = request.m_id;
     call.m_state = call_state::granted;
-    call.m_started = repairs;
+    call.m_started = ends_dangling;
     call.m_attempt = 1;
     call.m_runner = report.m_runner;
     report.m_attempt = 1;
@@ -467,8 +471,8 @@
     on_call_reported(state, report, out);
 }
 
-/// The maker of a `started` record is gone, but the entry VM that would have
-/// sent the call says that it never did, and it is the only one that could.
+/// Resumes a call that an earlier owner recorded as `started`. Only its entry
+/// VM could have sent it, and that VM reports that it did not.
 void resume_started(core_state& state, partition_row& partition,
                     const call_request& request, std::uint64_t seq,
                     command_list& out)
@@ -485,9 +489,9 @@
     enqueue_ready(state, call, out);
 }
 
-void submit_known_session(core_state& state, partition_row& partition,
-                          session_row* session, const call_submitted& submitted,
-                          command_list& out)
+void handle_submission(core_state& state, partition_row& partition,
+                       session_row* session, const call_submitted& submitted,
+                       command_list& out)
 {
     const auto& request = submitted.m_request;
     const turn_row* turn =
@@ -507,18 +511,19 @@
     }
     if (joined_expected(state, session, request))
         return;
-    auto* twin =
-        session == nullptr ? nullptr : find_live_twin(state, *session, request);
-    if (twin != nullptr)
+    auto* duplicate = session == nullptr
+                          ? nullptr
+                          : find_active_duplicate(state, *session, request);
+    if (duplicate != nullptr)
     {
-        if (twin->m_digest != digest_of(request))
+        if (duplicate->m_digest != digest_of(request))
         {
             reject(state, request, status_conflict,
                    "seq or idempotency key is in use for another request", out);
             return;
         }
-        twin->m_waiters.push_back({request.m_entry_vm, request.m_id});
-        trace(state, request.m_id, "joined " + twin->m_request.m_id);
+        duplicate->m_waiters.push_back({request.m_entry_vm, request.m_id});
+        trace(state, request.m_id, "joined " + duplicate->m_request.m_id);
         return;
     }
     if (rejected_by_limits(state, partition, request, out) ||
@@ -555,11 +560,11 @@
         return;
     }
     if (submitted.m_adopted_report)
-        note_late_holder(state, partition, submitted);
+        record_late_holder(state, partition, submitted);
     if (rejected_by_program(state, partition, submitted, out))
         return;
     auto* session = find_session(partition, request.m_session);
-    submit_known_session(state, partition, session, submitted, out);
+    handle_submission(state, partition, session, submitted, out);
 }
 
 void start_next_call(core_state& state, partition_row& partition,
--- a/src/core/budget.cpp
+++ b/src/core/budget.cpp
@@ -35,20 +35,20 @@
         call.m_prompt_tokens = prompt_bound(call.m_request, *session);
         call.m_cost_bound = call.m_prompt_tokens + call.m_request.m_max_tokens;
     }
-    const std::uint64_t need =
+    const std::uint64_t required =
         root->m_spent + root->m_outstanding + call.m_cost_bound;
-    if (need > root->m_budget)
+    if (required > root->m_budget)
     {
         call.m_cost_bound = 0;
         return reservation::refused;
     }
     root->m_outstanding += call.m_cost_bound;
-    if (root->m_recorded && need <= root->m_committed_reserved)
+    if (root->m_recorded && required <= root->m_committed_reserved)
         return reservation::ready;
     const std::uint64_t ahead =
         call.m_cost_bound * (state.m_deployment.m_limits.m_block_calls - 1);
     root->m_reserved =
-        std::max(root->m_reserved, std::min(root->m_budget, need + ahead));
+        std::max(root->m_reserved, std::min(root->m_budget, required + ahead));
     return reservation::needs_commit;
 }
 
--- a/src/core/commits.cpp
+++ b/src/core/commits.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// What follows when a record is in the log.
+// Actions that run once a record is committed.
 #include "pepperturn/core/prediction.hpp"
 #include "pepperturn/core/systems.hpp"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Whoever asks for a dangling call waits for its entry VM's word.
+/// Requests for a dangling call wait for its entry VM's report.
 void expect_dangling(program_row& program)
 {
     for (auto& [name, session] : program.m_sessions)
@@ -47,7 +47,7 @@
                   {"programs", std::to_string(partition.m_programs.size())}});
 }
 
-void note_committed(partition_row& partition, const record& entry)
+void update_committed(partition_row& partition, const record& entry)
 {
     if (const auto* program = std::get_if<program_record>(&entry))
     {
@@ -76,7 +76,7 @@
 void on_committed(core_state& state, partition_row& partition,
                   const pending_record& entry, command_list& out)
 {
-    note_committed(partition, entry.m_record);
+    update_committed(partition, entry.m_record);
     auto* call = find_call(state, entry.m_call);
     switch (entry.m_action)
     {
@@ -98,7 +98,7 @@
             send_grant(state, *call, out);
             return;
         }
-        // The runner began to leave while the record was being written.
+        // The runner became unusable while the record was being written.
         record_attempt_end(state, *call, nullptr);
         enqueue_ready(state, *call, out);
         return;
--- a/src/core/completion.cpp
+++ b/src/core/completion.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Ends of calls: reports, retries and the last word.
+// Ends of calls: reports, retries and final results.
 #include "pepperturn/core/systems.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr milliseconds short_retry{1000};
 constexpr double retry_burst = 20;
 
-/// Takes the call out of every table; its rows stay for history only.
+/// Removes the call from all tables; its turn stays in the history.
 void remove_call(core_state& state, const call_id& id)
 {
     auto& call = state.m_calls.at(id);
@@ -61,7 +61,8 @@
     return reply;
 }
 
-/// Blocks ride on this commit, so that the next call needs none first.
+/// Reservation to commit along with the call's end, so that the next call
+/// needs no commit before it is sent.
 std::uint64_t reservation_ahead(const core_state& state,
                                 const program_row& root, const call_row& call,
                                 std::uint64_t cost)
@@ -70,11 +71,12 @@
         std::max<std::uint64_t>(call.m_cost_bound, cost);
     const std::uint64_t ahead =
         typical * state.m_deployment.m_limits.m_block_calls;
-    const std::uint64_t want = root.m_spent + cost + root.m_outstanding + ahead;
-    return std::max(root.m_reserved, std::min(root.m_budget, want));
+    const std::uint64_t desired =
+        root.m_spent + cost + root.m_outstanding + ahead;
+    return std::max(root.m_reserved, std::min(root.m_budget, desired));
 }
 
-/// Queues the call's `ended` record; the answer follows its commit.
+/// Queues the call's `ended` record; the result is sent after its commit.
 void record_end(core_state& state, call_row& call, answer reply,
                 std::uint64_t cost, command_list& out)
 {
@@ -120,7 +122,8 @@
         root->m_attained += to_seconds(state.m_now - call.m_granted_at);
 }
 
-/// Tokens the engine read again although some engine had held them.
+/// Counts prompt tokens that were recomputed although an engine had cached
+/// them.
 void count_wasted(core_state& state, const call_row& call,
                   const call_report& report)
 {
@@ -163,7 +166,7 @@
         enqueue_ready(state, call, out);
         return;
     }
-    // Reserve again, from the start: the first attempt may have cost tokens.
+    // Reserve again in full: the first attempt may have used tokens.
     if (auto* session = find_session(partition, call.m_request.m_session))
         session->m_active.clear();
     start_next_call(state, partition, call.m_request.m_session, out);
@@ -182,15 +185,15 @@
     reply.m_retry_after = short_retry;
     if (call.m_may_have_run)
         reply.m_outcome = outcome::unknown;
-    // A `started` record must be closed before `not_run` may be said.
+    // A `started` record needs an `ended` record before `not_run` is reported.
     if (call.m_started)
         record_end(state, call, std::move(reply), 0, out);
     else
         finish_call(state, call, std::move(reply), out);
 }
 
-void fail_cut(core_state& state, call_row& call, const call_report& report,
-              command_list& out)
+void fail_aborted(core_state& state, call_row& call, const call_report& report,
+                  command_list& out)
 {
     const auto cost = call.m_cost_bound;
     if (!call.m_request.m_repeatable)
@@ -232,9 +235,9 @@
     record_end(state, call, std::move(reply), cost, out);
 }
 
-/// An engine that answers with an error status has not run the call.
-void refused_by_engine(core_state& state, call_row& call,
-                       const call_report& report, command_list& out)
+/// An engine that responds with an error status has not run the call.
+void rejected_by_engine(core_state& state, call_row& call,
+                        const call_report& report, command_list& out)
 {
     if (report.m_status == status_too_many ||
         report.m_status == status_unavailable)
@@ -318,7 +321,7 @@
     report.m_reason = reason;
     record_attempt_end(state, call, nullptr);
     call.m_state = call_state::ending;
-    fail_cut(state, call, report, out);
+    fail_aborted(state, call, report, out);
 }
 
 void finish_not_run(core_state& state, call_row& call, int status,
@@ -335,8 +338,8 @@
         finish_call(state, call, std::move(reply), out);
         return;
     }
-    // This VM made the `started` record and will never act on it, so nobody
-    // sends the call; the record is closed behind the answer.
+    // This VM wrote the `started` record and will not grant the call, so nobody
+    // sends it; the `ended` record is committed after the result is sent.
     ended_record ended;
     ended.m_call = call.m_request.m_id;
     ended.m_session = call.m_request.m_session;
@@ -352,12 +355,12 @@
 {
     const auto id = call.m_request.m_id;
     const auto partition = call.m_partition;
-    // An entry VM that is using a grant waits for nothing here and hears of
-    // the change when it reports.
+    // An entry VM that is using a grant ignores the redirect and learns of the
+    // new owner when it reports.
     for (const auto& target : call.m_waiters)
         out.emplace_back(send_decision{target.m_entry_vm,
                                        redirect{target.m_call, partition, {}}});
-    trace(state, id, "partition is changing hands");
+    trace(state, id, "partition is being handed over");
     remove_call(state, id);
 }
 
@@ -386,7 +389,7 @@
         fail_unsent(state, *call, report, out);
         return;
     case attempt_end::aborted:
-        fail_cut(state, *call, report, out);
+        fail_aborted(state, *call, report, out);
         return;
     case attempt_end::complete:
         break;
@@ -394,7 +397,7 @@
     if (call->m_request.m_kind == call_kind::chat &&
         report.m_status != status_ok)
     {
-        refused_by_engine(state, *call, report, out);
+        rejected_by_engine(state, *call, report, out);
         return;
     }
     count_wasted(state, *call, report);
@@ -410,7 +413,7 @@
     const bool unsent = call->m_state == call_state::waiting_turn ||
                         call->m_state == call_state::ready;
     if (unsent && call->m_waiters.size() <= 1)
-        finish_not_run(state, *call, status_gone, "the caller left",
+        finish_not_run(state, *call, status_gone, "the caller disconnected",
                        milliseconds{0}, out);
 }
 
--- a/src/core/helpers.cpp
+++ b/src/core/helpers.cpp
@@ -7,7 +7,7 @@
 namespace pepperturn {
 
 namespace {
-constexpr std::size_t kept_traces = 2048;
+constexpr std::size_t max_traces = 2048;
 } // namespace
 
 const char* to_string(call_state value)
@@ -84,7 +84,7 @@
     if (!inserted)
         return;
     state.m_trace_order.push_back(call);
-    if (state.m_trace_order.size() <= kept_traces)
+    if (state.m_trace_order.size() <= max_traces)
         return;
     state.m_traces.erase(state.m_trace_order.front());
     state.m_trace_order.pop_front();
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Lets the first heartbeats arrive before anything is claimed, so that a
-/// restarted VM does not take partitions that are well looked after.
+/// Lets the first heartbeats arrive before any partition is claimed, so that a
+/// restarted VM does not take over partitions that have a live owner.
 constexpr milliseconds settle_time{700};
 constexpr milliseconds read_retry{500};
-/// Many ticks long, and well under the heartbeat timeout.
-constexpr milliseconds paused_after{700};
-constexpr milliseconds resumed_wait{2000};
+/// Longer than many ticks, and well below the heartbeat timeout.
+constexpr milliseconds pause_threshold{700};
+constexpr milliseconds resume_timeout{2000};
 
 bool is_candidate(const core_state& state, const vm_row& row)
 {
@@ -32,8 +32,8 @@
                        });
 }
 
-/// A live VM other than this one that says it owns the partition.
-bool looked_after(const core_state& state, const partition_row& partition)
+/// True if another live VM announces that it owns the partition.
+bool has_live_owner(const core_state& state, const partition_row& partition)
 {
     return std::any_of(state.m_vms.begin(), state.m_vms.end(),
                        [&](const auto& entry) {
@@ -51,7 +51,8 @@
     out.emplace_back(read_log{partition.m_id});
 }
 
-/// Amounts held by grants in flight count as spent for the next owner.
+/// Amounts reserved by grants in flight are charged before the next owner
+/// takes over.
 void settle_reservations(core_state& state, partition_row& partition)
 {
     for (auto& [key, row] : partition.m_programs)
@@ -67,9 +68,9 @@
     }
 }
 
-/// What this owner itself was still waiting for from an earlier one.
-void pass_on_expected(partition_row& partition, handoff_record& handoff,
-                      command_list& out)
+/// Adds the calls of earlier owners whose results this owner still expects.
+void hand_over_expected(partition_row& partition, handoff_record& handoff,
+                        command_list& out)
 {
     for (auto& [key, program] : partition.m_programs)
     {
@@ -101,7 +102,8 @@
     std::vector<call_id> calls;
     for (const auto& [id, call] : state.m_calls)
     {
-        // Ended calls are still answered here, by the entry that is pending.
+        // Calls that are ending get their result from this owner, once their
+        // pending entry is committed.
         if (call.m_partition == partition.m_id &&
             call.m_state != call_state::ending)
             calls.push_back(id);
@@ -114,7 +116,7 @@
             handoff.m_in_flight.push_back(
                 {id, call.m_request.m_session, call.m_seq, call.m_digest});
     }
-    pass_on_expected(partition, handoff, out);
+    hand_over_expected(partition, handoff, out);
     settle_reservations(state, partition);
     for (const auto& id : calls)
         redirect_call(state, state.m_calls.at(id), out);
@@ -123,7 +125,7 @@
         {std::move(handoff), commit_action::handoff_done, {}, {}, {}});
 }
 
-void own_step(core_state& state, partition_row& partition, command_list& out)
+void check_owned(core_state& state, partition_row& partition, command_list& out)
 {
     const auto preferred = preferred_owner(state, partition.m_id);
     if (state.m_stopping)
@@ -141,7 +143,7 @@
         start_handoff(state, partition, preferred, out);
 }
 
-void idle_step(core_state& state, partition_row& partition, command_list& out)
+void check_idle(core_state& state, partition_row& partition, command_list& out)
 {
     const bool settled =
         state.m_vms_listed && state.m_now - state.m_started >= settle_time;
@@ -149,34 +151,34 @@
         return;
     if (preferred_owner(state, partition.m_id) != state.m_self)
         return;
-    if (!looked_after(state, partition))
+    if (!has_live_owner(state, partition))
         start_claim(state, partition, out);
 }
 
-/// A VM that hears no other cannot know whether it was replaced, so it asks
-/// the store for leave once a while.
-void doubt_when_isolated(core_state& state)
+/// A VM that receives no heartbeats cannot know whether another VM has taken
+/// over, so it confirms its ownership through the store at intervals.
+void unconfirm_when_isolated(core_state& state)
 {
     constexpr milliseconds interval{1000};
     if (state.m_now < state.m_next_isolation_check)
         return;
     state.m_next_isolation_check = state.m_now + interval;
-    bool others = false;
-    bool heard = false;
+    bool any_listed = false;
+    bool any_reachable = false;
     for (const auto& [id, row] : state.m_vms)
     {
         if (id == state.m_self || !row.m_listed || !row.m_last_received)
             continue;
-        others = true;
-        heard = heard || vm_alive(state, id);
+        any_listed = true;
+        any_reachable = any_reachable || vm_alive(state, id);
     }
-    if (!others || heard)
+    if (!any_listed || any_reachable)
         return;
     for (auto& partition : state.m_partitions)
         partition.m_unconfirmed = true;
 }
 
-void note_self(core_state& state)
+void update_own_row(core_state& state)
 {
     auto& self = state.m_vms[state.m_self];
     self.m_info.m_id = state.m_self;
@@ -202,7 +204,7 @@
 {
     const auto gap = state.m_now - state.m_last_tick;
     state.m_last_tick = state.m_now;
-    if (gap > paused_after)
+    if (gap > pause_threshold)
     {
         state.m_resumed_at = state.m_now;
         for (auto& partition : state.m_partitions)
@@ -210,8 +212,9 @@
         log_decision(out, "vm_resumed",
                      {{"paused_s", format_seconds(to_seconds(gap))}});
     }
-    // The platform's list may be down for long; do not wait for ever.
-    if (state.m_resumed_at && state.m_now - *state.m_resumed_at > resumed_wait)
+    // The platform's list may be unavailable for long: bound the wait.
+    if (state.m_resumed_at &&
+        state.m_now - *state.m_resumed_at > resume_timeout)
         state.m_resumed_at.reset();
 }
 
@@ -275,10 +278,10 @@
     const auto& known = partition.m_known_owner;
     if (!known.empty() && known != state.m_self && vm_alive(state, known))
         return known;
-    // A claim of this VM that the store has not answered outdates what is
-    // known; whoever says that it owns the partition still serves it.
-    auto beating = owner_by_heartbeats(state, id);
-    return beating.empty() ? preferred_owner(state, id) : beating;
+    // While a claim of this VM waits for the store, the known owner is
+    // outdated; a VM that announces that it owns the partition still serves it.
+    auto announced = owner_by_heartbeats(state, id);
+    return announced.empty() ? preferred_owner(state, id) : announced;
 }
 
 void on_vms_listed(core_state& state, const vms_listed& listed)
@@ -333,14 +336,14 @@
     if (state.m_now < state.m_next_ownership && !state.m_stopping)
         return;
     state.m_next_ownership = state.m_now + interval;
-    note_self(state);
-    doubt_when_isolated(state);
+    update_own_row(state);
+    unconfirm_when_isolated(state);
     for (auto& partition : state.m_partitions)
     {
         if (partition.m_role == partition_role::owner)
-            own_step(state, partition, out);
+            check_owned(state, partition, out);
         else if (partition.m_role == partition_role::idle)
-            idle_step(state, partition, out);
+            check_idle(state, partition, out);
     }
 }
 
--- a/src/core/memory_release.cpp
+++ b/src/core/memory_release.cpp
@@ -24,7 +24,7 @@
         const auto runner = state.m_runners.find(name);
         if (runner == state.m_runners.end())
         {
-            // Its memory went with it when it left the configuration.
+            // The runner is no longer configured; its memory is freed with it.
             append_record(
                 state, partition,
                 {released_record{key, name}, commit_action::none, {}, {}, {}});
@@ -43,8 +43,8 @@
     if (state.m_releasing.empty() || state.m_now < state.m_next_release)
         return;
     state.m_next_release = state.m_now + scan_interval;
-    // A slice a scan: one runner that is down for long must not make every
-    // scan walk all that has ended since.
+    // Each scan handles one slice: while a runner is down for long, scans must
+    // not go through all programs that have ended since.
     std::vector<std::pair<std::uint32_t, program_key>> slice;
     auto next = state.m_releasing.upper_bound(state.m_release_cursor);
     const auto count = std::min(state.m_releasing.size(), slice_size);
--- a/src/core/partition_log.cpp
+++ b/src/core/partition_log.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr milliseconds retry_pause{100};
+constexpr milliseconds retry_delay{100};
 constexpr std::size_t record_overhead = 200;
-/// etcd takes 128 operations a transaction by default (--max-txn-ops); each
-/// entry costs two compares.
-constexpr std::size_t most_entries = 48;
+/// etcd allows 128 operations per transaction by default (--max-txn-ops); each
+/// entry needs two compares.
+constexpr std::size_t max_entries = 48;
 
 std::size_t size_of(const record& entry)
 {
@@ -33,7 +33,7 @@
            partition.m_role == partition_role::handing_off;
 }
 
-void refill_allowance(core_state& state)
+void refill_write_tokens(core_state& state)
 {
     const auto& limits = state.m_deployment.m_limits;
     const double elapsed = to_seconds(state.m_now - state.m_write_refill);
@@ -51,7 +51,7 @@
     create.m_partition = partition.m_id;
     create.m_seq = partition.m_next_seq;
     create.m_manifest_revision = partition.m_manifest_revision;
-    // Random numbers alone may repeat: VMs can be given the same seed.
+    // Random numbers alone may repeat: VMs can be configured with one seed.
     create.m_batch.m_nonce =
         hash_combine(state.m_incarnation, state.m_random());
     create.m_confirms = partition.m_unconfirmed;
@@ -71,7 +71,8 @@
     }
     partition.m_create = std::move(create);
     partition.m_create_bytes = bytes;
-    // Here the rows equal the log through this entry; later they run ahead.
+    // Only now do the rows equal the log through this entry; later they
+    // include records that are not in it.
     const bool due =
         partition.m_next_seq - partition.m_covered >= limits.m_snapshot_entries;
     if (due && partition.m_pending.empty() && !partition.m_snapshot &&
@@ -83,17 +84,18 @@
     }
 }
 
-void note_store_failure(core_state& state, partition_row& partition)
+void record_store_failure(core_state& state, partition_row& partition)
 {
     if (!partition.m_failing_since)
         partition.m_failing_since = state.m_now;
-    partition.m_retry_at = state.m_now + retry_pause;
+    partition.m_retry_at = state.m_now + retry_delay;
 }
 
 void on_batch_committed(core_state& state, partition_row& partition,
                         command_list& out)
 {
-    // An entry that was on its way when the doubt arose proves nothing.
+    // An entry that was in flight when the ownership became unconfirmed does
+    // not confirm it.
     if (partition.m_create->m_confirms)
         partition.m_unconfirmed = false;
     partition.m_failing_since.reset();
@@ -131,8 +133,8 @@
     partition.m_known_epoch = std::max(partition.m_known_epoch, epoch);
 }
 
-/// Rebuilds the rows; false if an entry is missing, as happens when another
-/// owner compacts between our reads.
+/// Rebuilds the rows; false if an entry is missing, which happens when another
+/// owner compacts the log between this VM's reads.
 bool replay(core_state& state, partition_row& partition, const log_image& image)
 {
     partition.m_programs.clear();
@@ -156,7 +158,7 @@
     return true;
 }
 
-void forget_rows(core_state& state, partition_row& partition)
+void clear_rows(core_state& state, partition_row& partition)
 {
     partition.m_programs.clear();
     std::erase_if(state.m_releasing, [&](const auto& entry) {
@@ -196,7 +198,7 @@
     }
     for (const auto& id : calls)
         redirect_call(state, state.m_calls.at(id), out);
-    forget_rows(state, partition);
+    clear_rows(state, partition);
 }
 
 void on_entry_write_completed(core_state& state,
@@ -215,7 +217,7 @@
         on_batch_committed(state, partition, out);
         return;
     case create_status::exists:
-        // Our own write whose answer was lost, or a newer owner's.
+        // This VM's own write whose reply was lost, or a newer owner's.
         if (answered.m_existing &&
             answered.m_existing->m_nonce == partition.m_create->m_batch.m_nonce)
             on_batch_committed(state, partition, out);
@@ -226,7 +228,7 @@
         on_fenced(state, partition, std::nullopt, out);
         return;
     case create_status::unknown:
-        note_store_failure(state, partition);
+        record_store_failure(state, partition);
         return;
     }
 }
@@ -242,15 +244,15 @@
     if (!answered.m_image)
     {
         partition.m_role = partition_role::idle;
-        note_store_failure(state, partition);
+        record_store_failure(state, partition);
         return;
     }
     partition.m_failing_since.reset();
     if (!replay(state, partition, *answered.m_image))
     {
         partition.m_role = partition_role::idle;
-        forget_rows(state, partition);
-        partition.m_retry_at = state.m_now + retry_pause;
+        clear_rows(state, partition);
+        partition.m_retry_at = state.m_now + retry_delay;
         return;
     }
     partition.m_role = partition_role::claiming;
@@ -289,7 +291,7 @@
         out.emplace_back(delete_entries{partition.m_id, answered.m_covers});
         return;
     case create_status::unknown:
-        note_store_failure(state, partition);
+        record_store_failure(state, partition);
         return;
     case create_status::exists:
     case create_status::stale_manifest:
@@ -300,7 +302,7 @@
 
 void run_log_writer(core_state& state, command_list& out)
 {
-    refill_allowance(state);
+    refill_write_tokens(state);
     create_entries group;
     std::size_t bytes = 0;
     const auto flush = [&] {
@@ -314,7 +316,7 @@
     {
         const bool due = writes_entries(partition) && !partition.m_store_busy &&
                          state.m_now >= partition.m_retry_at;
-        // The first entry of a group pays for the group.
+        // One write token covers the whole group.
         if (!due || (group.m_entries.empty() && state.m_write_tokens < 1))
             continue;
         if (partition.m_snapshot && !partition.m_create)
@@ -325,9 +327,9 @@
             out.emplace_back(*partition.m_snapshot);
             continue;
         }
-        const bool nothing =
+        const bool is_empty =
             partition.m_pending.empty() && !partition.m_unconfirmed;
-        if (!partition.m_create && nothing)
+        if (!partition.m_create && is_empty)
             continue;
         if (!partition.m_create)
             form_batch(state, partition);
@@ -338,7 +340,7 @@
         group.m_entries.push_back(*partition.m_create);
         const auto& limits = state.m_deployment.m_limits;
         if (bytes >= limits.m_batch_bytes ||
-            group.m_entries.size() >= most_entries)
+            group.m_entries.size() >= max_entries)
             flush();
     }
     flush();
--- a/src/core/prediction.cpp
+++ b/src/core/prediction.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// Attempts of ours that were under way at \p when.
-std::uint32_t own_at(const runner_row& runner, instant when)
+/// Number of this VM's attempts that were in progress at \p when.
+std::uint32_t own_attempts_at(const runner_row& runner, instant when)
 {
-    const auto under_way = [when](const sent_attempt& attempt) {
+    const auto in_progress = [when](const sent_attempt& attempt) {
         return attempt.m_sent <= when &&
                (!attempt.m_ended || *attempt.m_ended > when);
     };
     return static_cast<std::uint32_t>(std::count_if(
-        runner.m_attempts.begin(), runner.m_attempts.end(), under_way));
+        runner.m_attempts.begin(), runner.m_attempts.end(), in_progress));
 }
 
-/// Seconds until the runner has read every prompt it was given.
+/// Seconds until the runner has prefilled all prompts sent to it.
 double prefill_backlog(const core_state& state, const runner_row& runner)
 {
     const double own = to_seconds(runner.m_prefill_free_at - state.m_now);
@@ -47,7 +47,7 @@
     const auto measured = runner.m_load_at - runner.m_load.m_age;
     const std::uint32_t reported =
         runner.m_load.m_running + runner.m_load.m_queued;
-    const std::uint32_t own = own_at(runner, measured);
+    const std::uint32_t own = own_attempts_at(runner, measured);
     const std::uint32_t others = reported > own ? reported - own : 0;
     return runner.m_in_flight + others;
 }
@@ -64,14 +64,16 @@
     candidate entry;
     entry.m_runner = &runner;
     entry.m_cached = estimated_cached_tokens(runner, session);
-    const auto held = std::min(call.m_prompt_tokens, session.m_history_tokens);
-    const auto again = held > entry.m_cached ? held - entry.m_cached : 0;
-    const auto fresh = call.m_prompt_tokens - held;
+    const auto history =
+        std::min(call.m_prompt_tokens, session.m_history_tokens);
+    const auto recomputed =
+        history > entry.m_cached ? history - entry.m_cached : 0;
+    const auto fresh = call.m_prompt_tokens - history;
     const double weight = state.m_deployment.m_limits.m_recompute_weight;
     entry.m_wait = prefill_backlog(state, runner) +
                    slot_wait(runner, estimated_load(runner));
     entry.m_finish = entry.m_wait + fresh / runner.m_info.m_prefill_rate +
-                     weight * again / runner.m_info.m_prefill_rate +
+                     weight * recomputed / runner.m_info.m_prefill_rate +
                      runner.m_mean_output / runner.m_info.m_decode_rate;
     return entry;
 }
@@ -85,8 +87,8 @@
     const auto& prefix = found->second;
     if (prefix.m_at < runner.m_cache_reset_at)
         return 0;
-    // The engine keeps what was used last; more than its cache holds has
-    // been sent since, so the prefix is gone.
+    // Engines evict the least recently used tokens; if more than the cache
+    // holds has been sent since, the prefix has been evicted.
     const auto since = runner.m_sent_tokens -
                        std::min(runner.m_sent_tokens, prefix.m_sent_mark);
     if (since + prefix.m_tokens > runner.m_info.m_cache_tokens)
--- a/src/core/program_end.cpp
+++ b/src/core/program_end.cpp
@@ -11,8 +11,9 @@
 constexpr std::int32_t status_conflict = 409;
 constexpr std::int32_t status_gone = 410;
 
-void say(const std::string& entry_vm, const call_id& call, std::int32_t status,
-         const std::string& reason, command_list& out)
+void send_reply(const std::string& entry_vm, const call_id& call,
+                std::int32_t status, const std::string& reason,
+                command_list& out)
 {
     if (call.empty())
         return;
@@ -24,9 +25,9 @@
     out.emplace_back(send_decision{entry_vm, std::move(reply)});
 }
 
-/// The program, and for a root also its sub-agents.
-std::vector<program_key> family_of(const partition_row& partition,
-                                   const program_key& key)
+/// Keys of the program and, for a root, of its sub-agents.
+std::vector<program_key> with_sub_agents(const partition_row& partition,
+                                         const program_key& key)
 {
     if (key.m_program != key.m_root)
         return {key};
@@ -41,7 +42,8 @@
     return keys;
 }
 
-/// Ends what was not sent and cancels what was; true if nothing is left.
+/// Ends calls that were not sent and cancels those that were; true if none
+/// remains.
 bool stop_calls(core_state& state, partition_row& partition,
                 const program_key& key, command_list& out)
 {
@@ -68,10 +70,10 @@
     return program == nullptr || program->m_live_calls == 0;
 }
 
-/// An owner that died may have sent turns that its log does not name, so
-/// every chat runner is asked when the program outlived an owner.
-void widen_holders(core_state& state, const partition_row& partition,
-                   std::uint64_t opened_epoch, program_row& row)
+/// A failed owner may have granted calls that its log does not name, so if the
+/// program has had several owners all chat runners are requested to release.
+void add_possible_holders(core_state& state, const partition_row& partition,
+                          std::uint64_t opened_epoch, program_row& row)
 {
     if (opened_epoch == partition.m_epoch)
         return;
@@ -92,8 +94,8 @@
     const auto* root = find_root(partition, key);
     if (row == nullptr || row->m_ended)
         return;
-    widen_holders(state, partition, root == nullptr ? 0 : root->m_opened_epoch,
-                  *row);
+    add_possible_holders(state, partition,
+                         root == nullptr ? 0 : root->m_opened_epoch, *row);
     auto entry = program_record_of(key, *row);
     entry.m_ended = true;
     log_decision(out, "program_ended",
@@ -108,25 +110,25 @@
 void answer_end_waiters(program_row& row, command_list& out)
 {
     for (const auto& [entry_vm, call] : row.m_end_waiters)
-        say(entry_vm, call, status_ok, {}, out);
+        send_reply(entry_vm, call, status_ok, {}, out);
     row.m_end_waiters.clear();
 }
 
-/// True once the log says that the program has ended.
+/// True once the record of the program's end is committed.
 bool end_is_committed(const partition_row& partition, const program_key& key)
 {
-    const auto names_it = [&key](const pending_record& entry) {
+    const auto is_end_record = [&key](const pending_record& entry) {
         const auto* ended = std::get_if<program_record>(&entry.m_record);
         return ended != nullptr && ended->m_ended && ended->m_key == key;
     };
     for (const auto& entry : partition.m_pending)
     {
-        if (names_it(entry))
+        if (is_end_record(entry))
             return false;
     }
     for (const auto& entry : partition.m_in_flight)
     {
-        if (names_it(entry))
+        if (is_end_record(entry))
             return false;
     }
     return true;
@@ -151,8 +153,8 @@
     auto* row = find_program(partition, request.m_key);
     if (row == nullptr)
     {
-        say(request.m_entry_vm, request.m_call, status_not_found,
-            "no such program", out);
+        send_reply(request.m_entry_vm, request.m_call, status_not_found,
+                   "no such program", out);
         return;
     }
     if (!request.m_call.empty())
@@ -163,15 +165,15 @@
             answer_end_waiters(*row, out);
         return;
     }
-    const auto family = family_of(partition, request.m_key);
-    for (const auto& key : family)
+    const auto keys_to_end = with_sub_agents(partition, request.m_key);
+    for (const auto& key : keys_to_end)
         partition.m_programs.at(key).m_ending = true;
-    bool quiet = true;
-    for (const auto& key : family)
-        quiet = stop_calls(state, partition, key, out) && quiet;
-    if (!quiet)
+    bool all_stopped = true;
+    for (const auto& key : keys_to_end)
+        all_stopped = stop_calls(state, partition, key, out) && all_stopped;
+    if (!all_stopped)
         return;
-    for (const auto& key : family)
+    for (const auto& key : keys_to_end)
         record_program_end(state, partition, key, out);
 }
 
@@ -196,16 +198,16 @@
             : nullptr;
     if (turn == nullptr)
     {
-        say(request.m_entry_vm, request.m_call, status_not_found,
-            "no such call", out);
+        send_reply(request.m_entry_vm, request.m_call, status_not_found,
+                   "no such call", out);
         return;
     }
     const bool open =
         !turn->m_dangling && turn->m_answer.m_outcome == outcome::unknown;
     if (!open)
     {
-        say(request.m_entry_vm, request.m_call, status_conflict,
-            "the call's outcome is not unknown", out);
+        send_reply(request.m_entry_vm, request.m_call, status_conflict,
+                   "the call's outcome is not unknown", out);
         return;
     }
     answer reply;
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// Ended attempts are kept this long to read lagging load reports right.
-constexpr seconds attempt_memory{10};
-/// Bounds the memory and the time of reading a report under any rate.
-constexpr std::size_t most_attempts = 256;
-/// How many waiting calls are looked at when the first finds no runner.
+/// Ended attempts are kept this long to correct delayed load reports.
+constexpr seconds attempt_retention{10};
+/// Bounds the memory, and the time to evaluate a report, at any call rate.
+constexpr std::size_t max_recorded_attempts = 256;
+/// Number of calls in a queue that are tried although none finds a runner.
 constexpr int lookahead = 16;
-/// Candidates this close to the best count as equal, in seconds.
-constexpr double near_equal = 0.005;
+/// Candidates this close to the best are treated as equal, in seconds.
+constexpr double tie_margin = 0.005;
 constexpr double output_smoothing = 0.1;
-constexpr seconds failed_runner_pause{1};
+constexpr seconds failed_runner_backoff{1};
 
 std::vector<candidate> candidates_for(core_state& state, call_row& call,
                                       const session_row& session)
@@ -43,7 +43,7 @@
     return out;
 }
 
-bool has_room(const core_state& state, const candidate& entry)
+bool has_capacity(const core_state& state, const candidate& entry)
 {
     const auto& info = entry.m_runner->m_info;
     return estimated_load(*entry.m_runner) <
@@ -59,15 +59,16 @@
     std::vector<const candidate*> close;
     for (const auto& entry : all)
     {
-        if (entry.m_finish <= best + near_equal)
+        if (entry.m_finish <= best + tie_margin)
             close.push_back(&entry);
     }
     if (close.empty())
         return nullptr;
     const auto* chosen = close[state.m_random() % close.size()];
-    // Waiting for the runner that holds the prefix beats computing it again
-    // elsewhere, so a full best runner keeps the call in our queue.
-    return has_room(state, *chosen) ? chosen : nullptr;
+    // Waiting for the runner that has the prefix cached is faster than
+    // recomputing it elsewhere, so if the best runner is full the call stays
+    // in this VM's queue.
+    return has_capacity(state, *chosen) ? chosen : nullptr;
 }
 
 const candidate* pick_least_loaded(core_state& state,
@@ -76,7 +77,7 @@
     const candidate* best = nullptr;
     for (const auto& entry : all)
     {
-        if (!has_room(state, entry))
+        if (!has_capacity(state, entry))
             continue;
         if (best == nullptr ||
             estimated_load(*entry.m_runner) < estimated_load(*best->m_runner))
@@ -91,11 +92,11 @@
 {
     if (all.empty())
         return nullptr;
-    auto& turn = state.m_round_robin[upstream];
-    const auto& chosen = all[turn % all.size()];
-    if (!has_room(state, chosen))
+    auto& next_index = state.m_round_robin[upstream];
+    const auto& chosen = all[next_index % all.size()];
+    if (!has_capacity(state, chosen))
         return nullptr;
-    turn += 1;
+    next_index += 1;
     return &chosen;
 }
 
@@ -106,7 +107,7 @@
     for (const auto& entry : all)
     {
         if (entry.m_runner->m_info.m_name == session.m_last_runner)
-            return has_room(state, entry) ? &entry : nullptr;
+            return has_capacity(state, entry) ? &entry : nullptr;
     }
     return pick_least_loaded(state, all);
 }
@@ -128,11 +129,12 @@
     return nullptr;
 }
 
-/// The best few; with hundreds of runners the rest would only fill the log.
+/// Lists only the best candidates: with hundreds of runners the log line
+/// would get too long.
 std::string describe(std::vector<candidate> all)
 {
-    constexpr std::size_t most = 5;
-    const auto shown = std::min(most, all.size());
+    constexpr std::size_t max_shown = 5;
+    const auto shown = std::min(max_shown, all.size());
     std::partial_sort(all.begin(),
                       all.begin() + static_cast<std::ptrdiff_t>(shown),
                       all.end(), [](const auto& left, const auto& right) {
@@ -153,8 +155,8 @@
     return text;
 }
 
-void note_sent(core_state& state, runner_row& runner, call_row& call,
-               std::uint32_t cached)
+void record_sent_attempt(core_state& state, runner_row& runner, call_row& call,
+                         std::uint32_t cached)
 {
     const auto uncached =
         call.m_prompt_tokens > cached ? call.m_prompt_tokens - cached : 0;
@@ -168,12 +170,12 @@
                                  {},
                                  uncached,
                                  call.m_request.m_max_tokens});
-    const auto forgettable = [&](const sent_attempt& oldest) {
+    const auto is_expired = [&](const sent_attempt& oldest) {
         return oldest.m_ended &&
-               (state.m_now - *oldest.m_ended > attempt_memory ||
-                runner.m_attempts.size() > most_attempts);
+               (state.m_now - *oldest.m_ended > attempt_retention ||
+                runner.m_attempts.size() > max_recorded_attempts);
     };
-    while (forgettable(runner.m_attempts.front()))
+    while (is_expired(runner.m_attempts.front()))
         runner.m_attempts.pop_front();
 }
 
@@ -201,7 +203,7 @@
               std::to_string(chosen.m_cached) + " of " +
               std::to_string(call.m_prompt_tokens) + " tokens) among " +
               describe(all));
-    note_sent(state, runner, call, chosen.m_cached);
+    record_sent_attempt(state, runner, call, chosen.m_cached);
     state.m_workspaces[call.m_request.m_session.m_program.m_workspace]
         .m_granted += 1;
     auto& partition = state.m_partitions[call.m_partition];
@@ -233,8 +235,8 @@
     return row->second.m_granted < info->second.m_max_active;
 }
 
-/// Calls without a session of their own, such as after a lost row, never
-/// get here; the null check guards the invariant.
+/// Returns true if the call left the queue. Queued calls always have a session;
+/// the null check guards this invariant.
 bool try_route(core_state& state, const call_id& id, command_list& out)
 {
     auto* call = find_call(state, id);
@@ -364,7 +366,7 @@
         permit.m_timeout = upstream->second.m_timeout;
     if (request.m_kind == call_kind::chat)
     {
-        // Every attempt leaves memory behind, also one that is cut off.
+        // Every attempt fills the cache, including an aborted one.
         if (auto* row = find_program(partition, request.m_session.m_program))
             row->m_holders.insert(call.m_runner);
         const auto* session = find_session(partition, request.m_session);
@@ -409,7 +411,7 @@
     if (report == nullptr)
         return;
     if (report->m_end == attempt_end::not_sent)
-        runner.m_backoff_until = state.m_now + failed_runner_pause;
+        runner.m_backoff_until = state.m_now + failed_runner_backoff;
     if (report->m_end == attempt_end::complete && report->m_output_tokens > 0)
         runner.m_mean_output +=
             output_smoothing * (report->m_output_tokens - runner.m_mean_output);
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -7,67 +7,69 @@
 
 namespace {
 
-void take(core_state& state, const call_submitted& input, command_list& out)
+void dispatch(core_state& state, const call_submitted& input, command_list& out)
 {
     detail::on_call_submitted(state, input, out);
 }
-void take(core_state& state, const call_reported& input, command_list& out)
+void dispatch(core_state& state, const call_reported& input, command_list& out)
 {
     detail::on_call_reported(state, input.m_report, out);
 }
-void take(core_state& state, const caller_disconnected& input,
-          command_list& out)
+void dispatch(core_state& state, const caller_disconnected& input,
+              command_list& out)
 {
     detail::on_caller_disconnected(state, input.m_call, out);
 }
-void take(core_state& state, const program_end_requested& input,
-          command_list& out)
+void dispatch(core_state& state, const program_end_requested& input,
+              command_list& out)
 {
     detail::on_program_end(state, input, out);
 }
-void take(core_state& state, const resolve_requested& input, command_list& out)
+void dispatch(core_state& state, const resolve_requested& input,
+              command_list& out)
 {
     detail::on_resolve(state, input, out);
 }
-void take(core_state& state, const entry_write_completed& input,
-          command_list& out)
+void dispatch(core_state& state, const entry_write_completed& input,
+              command_list& out)
 {
     detail::on_entry_write_completed(state, input, out);
 }
-void take(core_state& state, const log_read_completed& input, command_list& out)
+void dispatch(core_state& state, const log_read_completed& input,
+              command_list& out)
 {
     detail::on_log_read_completed(state, input, out);
 }
-void take(core_state& state, const snapshot_write_completed& input,
-          command_list& out)
+void dispatch(core_state& state, const snapshot_write_completed& input,
+              command_list& out)
 {
     detail::on_snapshot_write_completed(state, input, out);
 }
-void take(core_state& state, const load_reported& input, command_list&)
+void dispatch(core_state& state, const load_reported& input, command_list&)
 {
     detail::on_load_reported(state, input);
 }
-void take(core_state& state, const cache_evicted& input, command_list&)
+void dispatch(core_state& state, const cache_evicted& input, command_list&)
 {
     detail::on_cache_evicted(state, input);
 }
-void take(core_state& state, const cache_gap& input, command_list&)
+void dispatch(core_state& state, const cache_gap& input, command_list&)
 {
     detail::on_cache_gap(state, input);
 }
-void take(core_state& state, const release_completed& input, command_list&)
+void dispatch(core_state& state, const release_completed& input, command_list&)
 {
     detail::on_release_completed(state, input);
 }
-void take(core_state& state, const vms_listed& input, command_list&)
+void dispatch(core_state& state, const vms_listed& input, command_list&)
 {
     detail::on_vms_listed(state, input);
 }
-void take(core_state& state, const heartbeat& input, command_list& out)
+void dispatch(core_state& state, const heartbeat& input, command_list& out)
 {
     detail::on_heartbeat(state, input, out);
 }
-void take(core_state& state, const stop_requested&, command_list&)
+void dispatch(core_state& state, const stop_requested&, command_list&)
 {
     state.m_stopping = true;
 }
@@ -105,7 +107,7 @@
         [this](const auto& value) {
             if constexpr (!std::is_same_v<std::decay_t<decltype(value)>,
                                           deployment_changed>)
-                take(m_state, value, m_out);
+                dispatch(m_state, value, m_out);
         },
         input);
 }
@@ -161,7 +163,7 @@
 
 void scheduler::apply_deployment(const deployment& next)
 {
-    // Configuration only moves forward.
+    // An older revision never replaces a newer one.
     if (next.m_revision < m_state.m_deployment.m_revision)
         return;
     m_state.m_deployment = next;
--- a/src/core/types.cpp
+++ b/src/core/types.cpp
@@ -54,7 +54,7 @@
 
 program_key one_off_program(const std::string& workspace, const call_id& call)
 {
-    // Callers may not start a program's name with this character.
+    // Names of programs given by callers cannot start with this character.
     const auto name = "~" + call;
     return {workspace, name, name};
 }
--- a/src/core/upkeep.cpp
+++ b/src/core/upkeep.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// What becomes due without an event: deadlines, lost entry VMs, idle
-// programs, the state of the store.
+// Timers and periodic checks: deadlines, lost entry VMs, idle programs, the
+// state of the store.
 #include "pepperturn/core/systems.hpp"
 
 #include <algorithm>
@@ -15,10 +15,11 @@
 
 std::string unresolved_reason()
 {
-    return "the VM that sent it is gone; resolve it once its effect is known";
+    return "the VM that sent it has failed or restarted; resolve it once its "
+           "effect is known";
 }
 
-/// Tells those who waited for a lost call's result what became of it.
+/// Sends the outcome of a lost call to its waiters.
 void answer_expected(partition_row& partition, const session_key& key,
                      const ended_record& ended, command_list& out)
 {
@@ -35,10 +36,10 @@
     session->m_expected.erase(expected);
 }
 
-/// Dangling calls whose entry VM did not speak up become `unknown`.
-void close_dangling(core_state& state, partition_row& partition,
-                    const session_key& key, const turn_row& turn,
-                    command_list& out)
+/// Dangling calls whose entry VM did not report become `unknown`.
+void end_dangling(core_state& state, partition_row& partition,
+                  const session_key& key, const turn_row& turn,
+                  command_list& out)
 {
     ended_record ended;
     ended.m_call = turn.m_call;
@@ -77,18 +78,18 @@
 bool may_still_report(const core_state& state, const partition_row& partition,
                       const call_id& call)
 {
-    // Longer than any attempt and any entry VM's offer of its result.
+    // Longer than any attempt, and than entry VMs offer a result.
     constexpr seconds unreported_limit{180};
     return entry_alive(state, call) &&
            state.m_now < partition.m_dangling_due + unreported_limit;
 }
 
-/// Granted calls of an earlier owner whose entry VM is gone: whoever waited
-/// for their result asks anew.
+/// Drops granted calls of an earlier owner whose entry VM failed: the waiters
+/// for their results are redirected, so that they submit again.
 void scan_expected(core_state& state, partition_row& partition,
                    command_list& out)
 {
-    bool left = false;
+    bool remaining = false;
     for (auto& [key, program] : partition.m_programs)
     {
         for (auto& [name, session] : program.m_sessions)
@@ -96,7 +97,7 @@
             std::erase_if(session.m_expected, [&](const auto& entry) {
                 if (may_still_report(state, partition, entry.second.m_call))
                 {
-                    left = true;
+                    remaining = true;
                     return false;
                 }
                 for (const auto& target : entry.second.m_waiters)
@@ -107,15 +108,15 @@
             });
         }
     }
-    partition.m_has_expected = left;
+    partition.m_has_expected = remaining;
 }
 
-/// Makes the calls `unknown` that nobody will report any more.
+/// Ends dangling calls that will not be reported any more as `unknown`.
 void scan_dangling(core_state& state, partition_row& partition,
                    command_list& out)
 {
     std::vector<std::pair<session_key, std::uint64_t>> lost;
-    bool left = false;
+    bool remaining = false;
     for (const auto& [key, program] : partition.m_programs)
     {
         for (const auto& [name, session] : program.m_sessions)
@@ -125,7 +126,7 @@
                 if (!turn.m_dangling || session.m_calls.contains(seq))
                     continue;
                 if (may_still_report(state, partition, turn.m_call))
-                    left = true;
+                    remaining = true;
                 else
                     lost.push_back({{key, name}, seq});
             }
@@ -134,13 +135,13 @@
     for (const auto& [key, seq] : lost)
     {
         const auto turn = find_session(partition, key)->m_turns.at(seq);
-        close_dangling(state, partition, key, turn, out);
+        end_dangling(state, partition, key, turn, out);
     }
-    partition.m_has_dangling = left;
+    partition.m_has_dangling = remaining;
 }
 
-/// Store outages are judged over all partitions of the VM.
-void judge_store(core_state& state, command_list& out)
+/// Detects store outages from the failures of all partitions of this VM.
+void check_store(core_state& state, command_list& out)
 {
     const auto after = state.m_deployment.m_limits.m_outage_after;
     const bool down =
@@ -187,7 +188,8 @@
     for (const auto& id : lost)
     {
         if (auto* call = find_call(state, id))
-            end_without_report(state, *call, "its entry VM is gone", out);
+            end_without_report(state, *call,
+                               "its entry VM has failed or restarted", out);
     }
 }
 
@@ -236,14 +238,15 @@
                     ? milliseconds{60000}
                     : upstream->second.m_timeout;
             if (state.m_now >= call->m_granted_at + timeout + slack)
-                end_without_report(state, *call, "no report in time", out);
+                end_without_report(state, *call, "no report within the timeout",
+                                   out);
             continue;
         }
         const bool gap = call->m_state == call_state::waiting_turn;
         if (!gap && state.m_now < call->m_deadline)
             continue;
         finish_not_run(state, *call, status_timeout,
-                       gap ? "an earlier call of the session did not come"
+                       gap ? "an earlier call of the session did not arrive"
                            : "not started before the deadline",
                        short_retry, out);
     }
@@ -252,7 +255,7 @@
 void run_slow_scan(core_state& state, command_list& out)
 {
     constexpr milliseconds interval{100};
-    judge_store(state, out);
+    check_store(state, out);
     if (state.m_now < state.m_next_slow_scan)
         return;
     state.m_next_slow_scan = state.m_now + interval;
--- a/src/entry/entry_table.cpp
+++ b/src/entry/entry_table.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr milliseconds ask_again{30};
-/// Beyond the caller's patience, for the owner's own verdict to arrive.
+constexpr milliseconds retry_delay{30};
+/// Added to the queue timeout, so that the owner's own result can arrive.
 constexpr milliseconds owner_grace{1000};
-/// How long a result is offered to owners before it is called unknown.
-constexpr milliseconds report_limit{60000};
-/// Well under the heartbeat timeout, and many scans long.
-constexpr milliseconds paused_after{700};
+/// How long a result is offered to owners before the call ends as unknown.
+constexpr milliseconds report_timeout{60000};
+/// Well below the heartbeat timeout, and longer than many ticks.
+constexpr milliseconds pause_threshold{700};
 constexpr int status_timeout = 504;
 constexpr int status_bad_gateway = 502;
 
@@ -47,11 +47,11 @@
     if (entry.m_target_vm.empty())
     {
         entry.m_waiting = false;
-        entry.m_retry_at = m_port.now() + ask_again;
+        entry.m_retry_at = m_port.now() + retry_delay;
         return;
     }
     entry.m_waiting = true;
-    // Asking again does not make the caller wait longer.
+    // A resubmission does not extend the caller's queue timeout.
     auto request = entry.m_request;
     const auto waited = std::chrono::duration_cast<milliseconds>(
         m_port.now() - entry.m_started);
@@ -75,7 +75,7 @@
     auto report = report_for(permit);
     report.m_end = attempt_end::not_sent;
     report.m_no_retry = true;
-    report.m_reason = "its caller was answered already";
+    report.m_reason = "the call has already ended at its entry VM";
     m_port.submit_to(vm, {request, report},
                      [](const std::optional<decision>&) {});
 }
@@ -90,15 +90,15 @@
     entry.m_waiting = false;
     if (!made)
     {
-        entry.m_retry_at = m_port.now() + ask_again;
+        entry.m_retry_at = m_port.now() + retry_delay;
         return;
     }
     if (const auto* permit = std::get_if<grant>(&*made))
     {
         if (was_paused())
         {
-            // Its owner may have given the call up for lost, or released the
-            // program's memory: ask again instead of sending late.
+            // The owner may have ended the call as lost, or released the
+            // program's memory: submit again instead of sending late.
             entry.m_retry_at = m_port.now();
             return;
         }
@@ -111,19 +111,19 @@
         return;
     }
     const auto& other = std::get<redirect>(*made);
-    const bool news =
+    const bool is_new_owner =
         !other.m_owner_vm.empty() && other.m_owner_vm != entry.m_target_vm;
     entry.m_owner_hint = other.m_owner_vm;
-    if (news)
+    if (is_new_owner)
         submit(id, entry);
     else
-        entry.m_retry_at = m_port.now() + ask_again;
+        entry.m_retry_at = m_port.now() + retry_delay;
 }
 
 void entry_table::use_grant(const call_id& id, row& entry, const grant& permit)
 {
-    // The last line of defence: whatever an owner says, an unrepeatable call
-    // that may have left this VM is not sent again.
+    // Whatever an owner grants, an unrepeatable call that may have been sent by
+    // this VM is not sent again.
     if (entry.m_sent && !entry.m_request.m_repeatable)
     {
         auto report = report_for(permit);
@@ -155,7 +155,7 @@
         report.m_no_retry = false;
     entry.m_active.reset();
     entry.m_report = std::move(report);
-    entry.m_deadline = m_port.now() + report_limit;
+    entry.m_deadline = m_port.now() + report_timeout;
     entry.m_owner_hint = entry.m_target_vm;
     submit(id, entry);
 }
@@ -172,7 +172,7 @@
 {
     answer reply;
     reply.m_call = id;
-    // This VM alone could have sent the call, and it drops any later grant.
+    // Only this VM could have sent the call, and it declines any later grant.
     reply.m_outcome = entry.m_sent ? outcome::unknown : outcome::not_run;
     reply.m_status = entry.m_sent ? status_bad_gateway : status_timeout;
     reply.m_reason = entry.m_sent ? "the result could not be recorded"
@@ -183,7 +183,7 @@
     const auto request = entry.m_request;
     const bool withdraw = !entry.m_sent && !vm.empty();
     finish(id, reply);
-    // Whoever still holds the call for us need not wait for a time-out.
+    // An owner that still has the call queued can end it before its timeout.
     if (withdraw)
     {
         grant unused;
@@ -194,7 +194,7 @@
 
 bool entry_table::was_paused() const
 {
-    return m_port.now() - m_last_tick > paused_after;
+    return m_port.now() - m_last_tick > pause_threshold;
 }
 
 void entry_table::cancel(const call_id& call, std::uint32_t attempt)
@@ -214,8 +214,8 @@
         return {};
     const auto& entry = found->second;
     return std::string(entry.m_active    ? "sent"
-                       : entry.m_waiting ? "asked "
-                                         : "will ask after ") +
+                       : entry.m_waiting ? "waiting for "
+                                         : "will retry after ") +
            entry.m_target_vm + (entry.m_report ? ", with a result" : "");
 }
 
--- a/src/policy/lua_policy.cpp
+++ b/src/policy/lua_policy.cpp
@@ -12,8 +12,8 @@
 constexpr int instruction_limit = 100000;
 constexpr int highest_class = 1000;
 
-/// Memory of one Lua state, bounded.
-struct allowance
+/// Memory in use by one Lua state, limited to memory_limit bytes.
+struct memory_account
 {
     std::size_t m_used = 0;
 };
@@ -21,7 +21,7 @@
 void* allocate(void* opaque, void* block, std::size_t old_size,
                std::size_t new_size)
 {
-    auto& used = static_cast<allowance*>(opaque)->m_used;
+    auto& used = static_cast<memory_account*>(opaque)->m_used;
     // For a new block the old size is a type tag (lua_Alloc, manual 4.6).
     const std::size_t before = block == nullptr ? 0 : old_size;
     if (new_size == 0)
@@ -38,12 +38,13 @@
     return out;
 }
 
-void stop_runaway(lua_State* lua, lua_Debug*)
+void on_instruction_limit(lua_State* lua, lua_Debug*)
 {
     luaL_error(lua, "instruction limit reached");
 }
 
-/// Base, string, table and math, less what reads files or loads code.
+/// Opens base, string, table and math, without the functions that read files,
+/// load code, print or control the garbage collector.
 void open_libraries(lua_State* lua)
 {
     luaL_requiref(lua, LUA_GNAME, luaopen_base, 1);
@@ -62,7 +63,7 @@
 class lua_rules
 {
 public:
-    lua_rules() : m_lua(lua_newstate(allocate, &m_allowance))
+    lua_rules() : m_lua(lua_newstate(allocate, &m_memory))
     {
         if (m_lua != nullptr)
             open_libraries(m_lua);
@@ -141,7 +142,8 @@
 
     bool run(int arguments, int results, std::string& reason)
     {
-        lua_sethook(m_lua, stop_runaway, LUA_MASKCOUNT, instruction_limit);
+        lua_sethook(m_lua, on_instruction_limit, LUA_MASKCOUNT,
+                    instruction_limit);
         const int status = lua_pcall(m_lua, arguments, results, 0);
         lua_sethook(m_lua, nullptr, 0, 0);
         return status == LUA_OK || fail(reason);
@@ -203,7 +205,7 @@
         return run(tables, 1, reason);
     }
 
-    allowance m_allowance;
+    memory_account m_memory;
     lua_State* m_lua;
 };
 
@@ -232,7 +234,7 @@
         out.m_budget = [rules](const policy_facts& facts) {
             std::string reason;
             const auto value = rules->call_number("budget", facts, 1, reason);
-            // Never more than the workspace has.
+            // Limited to the workspace's budget.
             if (!value || *value < 0)
                 return facts.m_workspace_budget;
             return std::min(facts.m_workspace_budget,
--- a/test/core/test_partition_log.cpp
+++ b/test/core/test_partition_log.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The first entry that a VM would create: its takeover.
+/// The first entry that a VM creates: its takeover.
 std::optional<create_entry> first_entry(std::uint64_t incarnation,
                                         std::uint64_t seed)
 {
@@ -18,11 +18,11 @@
     for (int i = 0; i < 30; ++i)
     {
         time.advance(milliseconds(100));
-        for (const auto& order : core.tick())
+        for (const auto& each : core.tick())
         {
-            if (std::holds_alternative<read_log>(order))
+            if (std::holds_alternative<read_log>(each))
                 core.handle(log_read_completed{0, log_image{}});
-            if (const auto* create = std::get_if<create_entries>(&order))
+            if (const auto* create = std::get_if<create_entries>(&each))
                 return create->m_entries.front();
         }
     }
@@ -31,8 +31,8 @@
 
 } // namespace
 
-// With a seed set in the settings two VMs drew the same nonces, and each took
-// the other's entry for its own: both owned the partition.
+// Two VMs configured with the same seed must not create equal nonces: each
+// would treat the other's entry as its own, and both would own the partition.
 TEST_CASE("entries of two VMs with one seed can be told apart", "[core]")
 {
     const auto left = first_entry(1, 7);
--- a/test/policy/test_lua_policy.cpp
+++ b/test/policy/test_lua_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct refused_row
+struct invalid_policy
 {
     const char* m_source;
     const char* m_reason;
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a policy decides", "[policy]")
+TEST_CASE("a policy sets class, budget and runners", "[policy]")
 {
     std::string reason;
     const auto rules = make_policy(
@@ -35,30 +35,31 @@
     CHECK_FALSE(rules->m_allow(facts));
 }
 
-TEST_CASE("a bad policy is refused with its line", "[policy]")
+TEST_CASE("an invalid policy is rejected with its line", "[policy]")
 {
     const auto row = GENERATE(
-        refused_row{"function priority(", "policy:1:"},
-        refused_row{"\n\nx = = 1", "policy:3:"},
-        refused_row{"function priority() return 'high' end", "whole number"},
-        refused_row{"function allow() return 1 end", "true or false"},
-        refused_row{"function budget(p) return p.nothing.at end", "policy:1:"},
-        refused_row{"function priority() while true do end end",
-                    "instruction limit"},
-        refused_row{"while true do end", "instruction limit"},
-        refused_row{"local t = {} for i = 1, 1e9 do t[i] = i end", ""},
-        refused_row{"x = string.rep('x', 1 << 26)", "memory"},
-        refused_row{"io.open('/etc/passwd')", "nil value"},
-        refused_row{"os.exit()", "nil value"},
-        refused_row{"load('x = 1')()", "nil value"},
-        refused_row{"\x1bLua", "binary"});
+        invalid_policy{"function priority(", "policy:1:"},
+        invalid_policy{"\n\nx = = 1", "policy:3:"},
+        invalid_policy{"function priority() return 'high' end", "whole number"},
+        invalid_policy{"function allow() return 1 end", "true or false"},
+        invalid_policy{"function budget(p) return p.nothing.at end",
+                       "policy:1:"},
+        invalid_policy{"function priority() while true do end end",
+                       "instruction limit"},
+        invalid_policy{"while true do end", "instruction limit"},
+        invalid_policy{"local t = {} for i = 1, 1e9 do t[i] = i end", ""},
+        invalid_policy{"x = string.rep('x', 1 << 26)", "memory"},
+        invalid_policy{"io.open('/etc/passwd')", "nil value"},
+        invalid_policy{"os.exit()", "nil value"},
+        invalid_policy{"load('x = 1')()", "nil value"},
+        invalid_policy{"\x1bLua", "binary"});
     std::string reason;
     INFO(row.m_source);
     CHECK_FALSE(make_policy(row.m_source, 1, reason));
     CHECK(reason.find(row.m_reason) != std::string::npos);
 }
 
-TEST_CASE("a rule that fails later answers as the default", "[policy]")
+TEST_CASE("a rule that fails later returns the default", "[policy]")
 {
     std::string reason;
     const auto rules = make_policy(
