--- a/include/pepperturn/core/tables.hpp
+++ b/include/pepperturn/core/tables.hpp
@@ -197,8 +197,8 @@
     std::uint64_t m_known_epoch = 0;
     std::string m_handoff_to;
     instant m_imbalanced_since{};
-    /// Dangling calls become `unknown` at this time unless their entry VM
-    /// reports or submits them again.
+    /// From this time on, dangling calls become `unknown` if their entry VM
+    /// has failed or restarted, or does not report them in time.
     instant m_dangling_due{};
     bool m_has_dangling = false;
     /// Another VM may have taken over: no call is granted until the store
--- a/src/core/apply.cpp
+++ b/src/core/apply.cpp
@@ -72,8 +72,7 @@
     turn.m_answer.m_runner = entry.m_runner;
 }
 
-void remember_prefix(core_state& state, session_row& session,
-                     const answer& reply)
+void record_prefix(core_state& state, session_row& session, const answer& reply)
 {
     session.m_history_tokens = reply.m_prompt_tokens + reply.m_output_tokens;
     session.m_last_runner = reply.m_runner;
@@ -123,7 +122,7 @@
     row.m_holders.insert(entry.m_answer.m_runner);
     if (entry.m_answer.m_outcome == outcome::ran &&
         is_success(entry.m_answer.m_status))
-        remember_prefix(state, session, entry.m_answer);
+        record_prefix(state, session, entry.m_answer);
 }
 
 void apply(core_state&, partition_row& partition, const resolved_record& entry)
--- a/src/core/completion.cpp
+++ b/src/core/completion.cpp
@@ -131,11 +131,11 @@
     const auto* session = find_session(partition, call.m_request.m_session);
     if (session == nullptr)
         return;
-    const auto held =
+    const auto history =
         std::min(report.m_prompt_tokens, session->m_history_tokens);
     state.m_counters.m_prompt_tokens += report.m_prompt_tokens;
-    if (held > report.m_cached_tokens)
-        state.m_counters.m_wasted_tokens += held - report.m_cached_tokens;
+    if (history > report.m_cached_tokens)
+        state.m_counters.m_wasted_tokens += history - report.m_cached_tokens;
 }
 
 bool may_retry(core_state& state, const call_row& call)
@@ -200,7 +200,7 @@
     {
         record_end(state, call,
                    answer_of(call, outcome::unknown, status_bad_gateway,
-                             "the reply was cut off: " + report.m_reason),
+                             "the response was incomplete: " + report.m_reason),
                    cost, out);
         return;
     }
@@ -212,7 +212,7 @@
     auto& partition = state.m_partitions[call.m_partition];
     settle_budget(state, partition, call, cost);
     auto reply = answer_of(call, outcome::unknown, status_bad_gateway,
-                           "the reply was cut off: " + report.m_reason);
+                           "the response was incomplete: " + report.m_reason);
     reply.m_retry_after = short_retry;
     finish_call(state, call, std::move(reply), out);
 }
