--- a/src/turns/turn_round.hpp
+++ b/src/turns/turn_round.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// One question of a turn_client, shared by the files that implement it.
+/// One quorum request of a turn_client, shared by the files that implement it.
 #pragma once
 
 #include "pepperturn/turns/turn_client.hpp"
@@ -9,14 +9,14 @@
 
 namespace pepperturn {
 
-/// One question to the members of a replica set, repeated until enough have
-/// answered.
+/// One request to the members of a replica set, repeated until enough have
+/// replied.
 struct turn_client::round
 {
     struct row
     {
         bool m_pending = false;
-        std::optional<frame> m_answer;
+        std::optional<frame> m_reply;
     };
 
     round(asio::io_context& io, id_key program, frame_body body)
@@ -25,34 +25,34 @@
 
     id_key m_program;
     frame_body m_body;
-    /// The one member that is asked for the chain as well.
-    std::string m_chain_from;
-    /// Spreads the members that are asked first.
-    std::uint64_t m_draw = 0;
-    /// From then on every member is asked.
-    instant m_ask_all_at{};
+    /// The one member that is requested to send the history as well.
+    std::string m_history_member;
+    /// Spreads load over the members that receive the request first.
+    std::uint64_t m_random_tiebreak = 0;
+    /// From then on the request is sent to every member.
+    instant m_request_all_at{};
     std::uint64_t m_epoch = 0;
     std::map<std::string, row> m_rows;
     async_event m_changed;
     bool m_closed = false;
 
-    [[nodiscard]] bool answered(const std::string& name) const
+    [[nodiscard]] bool has_reply(const std::string& name) const
     {
         const auto found = m_rows.find(name);
-        return found != m_rows.end() && found->second.m_answer;
+        return found != m_rows.end() && found->second.m_reply;
     }
     [[nodiscard]] const begun_message* begun(const std::string& name) const
     {
         const auto found = m_rows.find(name);
-        if (found == m_rows.end() || !found->second.m_answer)
+        if (found == m_rows.end() || !found->second.m_reply)
             return nullptr;
-        return std::get_if<begun_message>(&found->second.m_answer->m_body);
+        return std::get_if<begun_message>(&found->second.m_reply->m_body);
     }
     [[nodiscard]] bool parent_found() const
     {
         return std::any_of(m_rows.begin(), m_rows.end(), [&](const auto& row) {
-            const auto* answer = begun(row.first);
-            return answer != nullptr && answer->m_parent_found;
+            const auto* reply = begun(row.first);
+            return reply != nullptr && reply->m_parent_found;
         });
     }
 };
--- a/src/turns/turn_news.cpp
+++ b/src/turns/turn_server_state.cpp
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// What a storage VM knows of the world: whom it tells, and what it keeps of it
-// on its disk.
+// The cluster state of a storage VM: its subscribers, and the copy on its disk.
 #include "pepperturn/cluster/relay_peers.hpp"
 #include "pepperturn/cluster/replica_sets.hpp"
 #include "pepperturn/turns/turn_server.hpp"
@@ -12,13 +11,13 @@
 
 namespace {
 
-/// Who looks for members asks a seed, and so do all VMs that start at once: of
-/// a longer list of runners it hears from its sources only, and the seeds'
-/// links stay free.
-constexpr std::size_t most_runners_for_seekers = 1000;
+/// VMs that look for members contact a seed, all at once when many start
+/// together. A longer list of runners is sent to them only by their update
+/// sources, so that the links of the seeds are not saturated.
+constexpr std::size_t max_runners_for_seekers = 1000;
 constexpr const char* state_file = "state";
 
-/// What is known, as the frame that tells it.
+/// Encodes the state as the frame that sends it, without the length prefix.
 std::string encode_state(const cluster_state& state)
 {
     constexpr std::size_t length_bytes = 4;
@@ -36,60 +35,63 @@
 
 } // namespace
 
-void turn_server::take_hello(const std::shared_ptr<peer>& from,
-                             const hello_message& hello)
+void turn_server::handle_hello(const std::shared_ptr<peer>& from,
+                               const hello_message& hello)
 {
     from->m_name = hello.m_name;
     from->m_relay = {hello.m_name, hello.m_relay_address,
                      hello.m_availability_zone};
-    if (hello.m_seeks && m_state.m_runners.size() > most_runners_for_seekers)
+    if (hello.m_seeks_members &&
+        m_state.m_runners.size() > max_runners_for_seekers)
     {
-        auto news = full_state(m_state);
-        news.m_runners.clear();
-        news.m_runners_revision = 0;
-        answer(from, 0, frame_status::ok, std::move(news));
+        auto update = full_state(m_state);
+        update.m_runners.clear();
+        update.m_runners_revision = 0;
+        send_reply(from, 0, frame_status::ok, std::move(update));
         return;
     }
-    const bool wanted = std::exchange(from->m_wants_news, hello.m_wants_news);
-    if (from->m_wants_news && !wanted)
-        tell_all(*from, hello.m_known_runners);
+    const bool was_subscribed =
+        std::exchange(from->m_subscribed, hello.m_subscribes);
+    if (from->m_subscribed && !was_subscribed)
+        send_full_update(*from, hello.m_known_runners);
 }
 
-void turn_server::tell_all(const peer& to, std::uint64_t known)
+void turn_server::send_full_update(const peer& to, std::uint64_t known)
 {
-    // Hundreds may ask at the same moment, most of them for the same.
+    // Hundreds may subscribe at the same moment, most of them from the same
+    // revision.
     const auto epoch = m_own_view.m_epoch;
-    const bool same = m_told_all && m_told_all->m_changes == m_changes &&
-                      m_told_all->m_known == known &&
-                      m_told_all->m_epoch == epoch;
+    const bool same = m_full_update && m_full_update->m_changes == m_changes &&
+                      m_full_update->m_known == known &&
+                      m_full_update->m_epoch == epoch;
     if (!same)
-        m_told_all = told_news{
+        m_full_update = encoded_update{
             m_changes, known, epoch,
             std::make_shared<const std::string>(encode_frame(
                 {0, epoch, frame_status::ok, updates_since(m_state, known)}))};
-    m_news_bytes += m_told_all->m_bytes->size();
-    to.m_link->send(m_told_all->m_bytes);
+    m_update_bytes += m_full_update->m_bytes->size();
+    to.m_link->send(m_full_update->m_bytes);
 }
 
-neighbours_message turn_server::neighbours_of(const peer& asker) const
+relay_peers_message turn_server::relay_peers_for(const peer& requester) const
 {
-    std::vector<neighbour> candidates;
+    std::vector<relay_peer> candidates;
     candidates.reserve(m_peers.size());
     for (const auto& row : m_peers)
         candidates.push_back(row->m_relay);
-    return {choose_relay_peers(candidates, asker.m_name,
-                               asker.m_relay.m_availability_zone)};
+    return {choose_relay_peers(candidates, requester.m_name,
+                               requester.m_relay.m_availability_zone)};
 }
 
-void turn_server::take_state(const cluster_state& news)
+void turn_server::apply_state(const cluster_state& update)
 {
-    const auto change = merge_state(m_state, news);
+    const auto change = merge_state(m_state, update);
     if (!change.any())
         return;
     m_state_saved = false;
     ++m_changes;
-    const auto* home = find_replica_set(m_state.m_views, m_name);
-    const auto own = home == nullptr ? cluster_view{} : *home;
+    const auto* own_set = find_replica_set(m_state.m_views, m_name);
+    const auto own = own_set == nullptr ? cluster_view{} : *own_set;
     if (own != m_own_view)
     {
         m_own_view = own;
@@ -102,35 +104,35 @@
               << " moved=" << change.m_runners.size()
               << " views_moved=" << change.m_views.size()
               << " set=" << m_own_view.m_set << " epoch=" << m_own_view.m_epoch;
-    tell_change(change);
+    send_change(change);
     if (m_on_change)
         m_on_change(change);
 }
 
-void turn_server::tell_change(const state_change& change)
+void turn_server::send_change(const state_change& change)
 {
     auto parts = changed_parts(m_state, change);
-    // Whoever listens has been told all up to there.
-    if (m_told_runners > 0)
+    // Every subscriber has been sent everything up to that revision.
+    if (m_sent_runners_revision > 0)
     {
-        parts.m_runners_since = m_told_runners;
+        parts.m_runners_since = m_sent_runners_revision;
         parts.m_runners_revision = m_state.m_runners_revision;
     }
-    m_told_runners = m_state.m_runners_revision;
+    m_sent_runners_revision = m_state.m_runners_revision;
     const auto bytes = std::make_shared<const std::string>(
         encode_frame({0, m_own_view.m_epoch, frame_status::ok, parts}));
     for (const auto& row : std::set(m_peers))
     {
-        if (!row->m_wants_news)
+        if (!row->m_subscribed)
             continue;
-        m_news_bytes += bytes->size();
+        m_update_bytes += bytes->size();
         row->m_link->send(bytes);
     }
 }
 
 void turn_server::save_own_view()
 {
-    // After a restart it must not act under an older view than before.
+    // After a restart this VM must not act under an older view than before.
     std::string reason;
     if (m_log.write_file(state_file, encode_state(m_state), reason))
         return;
@@ -150,13 +152,13 @@
         LOG(ERROR) << "event=state_unreadable reason=\"" << reason << '"';
         return;
     }
-    take_state(*state);
+    apply_state(*state);
     m_state.m_settled_epoch = state->m_settled_epoch;
     m_state.m_tombstones_since = state->m_tombstones_since;
     m_state_saved = true;
 }
 
-void turn_server::note_settled()
+void turn_server::mark_settled()
 {
     const auto newest = newest_epoch(m_state);
     if (m_state.m_settled_epoch == newest)
@@ -176,11 +178,12 @@
     });
 }
 
-void turn_server::send_beat(milliseconds store_age, bool watches)
+void turn_server::send_heartbeat(milliseconds store_age, bool watches)
 {
     const auto age = static_cast<std::uint32_t>(store_age.count());
-    const auto bytes = std::make_shared<const std::string>(encode_frame(
-        {0, m_own_view.m_epoch, frame_status::ok, beat_message{age, watches}}));
+    const auto bytes = std::make_shared<const std::string>(
+        encode_frame({0, m_own_view.m_epoch, frame_status::ok,
+                      heartbeat_message{age, watches}}));
     for (const auto& row : std::set(m_peers))
         row->m_link->send(bytes);
 }
