--- a/src/core/apply.cpp
+++ b/src/core/apply.cpp
@@ -12,8 +12,8 @@
     return status >= 200 && status < 300;
 }
 
-/// Whatever an earlier owner had reserved may have been sent, so it counts
-/// as spent from here on.
+/// Calls covered by an earlier owner's reservation may have been sent, so the
+/// whole reservation is charged.
 void charge_unsettled(partition_row& partition)
 {
     for (auto& [key, row] : partition.m_programs)
@@ -72,8 +72,7 @@
     turn.m_answer.m_runner = entry.m_runner;
 }
 
-void remember_prefix(core_state& state, session_row& session,
-                     const answer& reply)
+void record_prefix(core_state& state, session_row& session, const answer& reply)
 {
     session.m_history_tokens = reply.m_prompt_tokens + reply.m_output_tokens;
     session.m_last_runner = reply.m_runner;
@@ -123,7 +122,7 @@
     row.m_holders.insert(entry.m_answer.m_runner);
     if (entry.m_answer.m_outcome == outcome::ran &&
         is_success(entry.m_answer.m_status))
-        remember_prefix(state, session, entry.m_answer);
+        record_prefix(state, session, entry.m_answer);
 }
 
 void apply(core_state&, partition_row& partition, const resolved_record& entry)
@@ -213,7 +212,7 @@
     std::vector<record> out;
     out.emplace_back(
         takeover_record{partition.m_known_owner, partition.m_epoch});
-    // Programs first: their turns then count towards an existing root.
+    // Programs first, so that turns are counted for an existing root.
     for (const auto& [key, row] : partition.m_programs)
     {
         if (row.m_recorded || row.m_ended)
--- a/src/core/completion.cpp
+++ b/src/core/completion.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Ends of calls: reports, retries and the last word.
+// Ends of calls: reports, retries and final results.
 #include "pepperturn/core/systems.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr milliseconds short_retry{1000};
 constexpr double retry_burst = 20;
 
-/// Takes the call out of every table; its rows stay for history only.
+/// Removes the call from all tables; its turn stays in the history.
 void remove_call(core_state& state, const call_id& id)
 {
     auto& call = state.m_calls.at(id);
@@ -26,7 +26,7 @@
         dequeue_ready(state, call);
     if (call.m_state == call_state::granted ||
         call.m_state == call_state::starting)
-        note_attempt_ended(state, call, nullptr);
+        record_attempt_end(state, call, nullptr);
     if (call.m_cost_bound > 0)
         settle_budget(state, partition, call, 0);
     if (auto* session = find_session(partition, key))
@@ -61,7 +61,8 @@
     return reply;
 }
 
-/// Blocks ride on this commit, so that the next call needs none first.
+/// Reservation to commit along with the call's end, so that the next call
+/// needs no commit before it is sent.
 std::uint64_t reservation_ahead(const core_state& state,
                                 const program_row& root, const call_row& call,
                                 std::uint64_t cost)
@@ -70,11 +71,12 @@
         std::max<std::uint64_t>(call.m_cost_bound, cost);
     const std::uint64_t ahead =
         typical * state.m_deployment.m_limits.m_block_calls;
-    const std::uint64_t want = root.m_spent + cost + root.m_outstanding + ahead;
-    return std::max(root.m_reserved, std::min(root.m_budget, want));
+    const std::uint64_t desired =
+        root.m_spent + cost + root.m_outstanding + ahead;
+    return std::max(root.m_reserved, std::min(root.m_budget, desired));
 }
 
-/// Queues the call's `ended` record; the answer follows its commit.
+/// Queues the call's `ended` record; the result is sent after its commit.
 void record_end(core_state& state, call_row& call, answer reply,
                 std::uint64_t cost, command_list& out)
 {
@@ -120,7 +122,8 @@
         root->m_attained += to_seconds(state.m_now - call.m_granted_at);
 }
 
-/// Tokens the engine read again although some engine had held them.
+/// Counts prompt tokens that were recomputed although an engine had cached
+/// them.
 void count_wasted(core_state& state, const call_row& call,
                   const call_report& report)
 {
@@ -128,11 +131,11 @@
     const auto* session = find_session(partition, call.m_request.m_session);
     if (session == nullptr)
         return;
-    const auto held =
+    const auto history =
         std::min(report.m_prompt_tokens, session->m_history_tokens);
     state.m_counters.m_prompt_tokens += report.m_prompt_tokens;
-    if (held > report.m_cached_tokens)
-        state.m_counters.m_wasted_tokens += held - report.m_cached_tokens;
+    if (history > report.m_cached_tokens)
+        state.m_counters.m_wasted_tokens += history - report.m_cached_tokens;
 }
 
 bool may_retry(core_state& state, const call_row& call)
@@ -147,7 +150,7 @@
     auto& partition = state.m_partitions[call.m_partition];
     state.m_retry_tokens -= 1;
     state.m_counters.m_retries += 1;
-    call.m_avoid.insert(call.m_runner);
+    call.m_excluded_runners.insert(call.m_runner);
     log_decision(out, "retry",
                  {{"call", call.m_request.m_id},
                   {"runner", call.m_runner},
@@ -157,16 +160,16 @@
           "attempt on " + call.m_runner + " failed: " + report.m_reason);
     settle_budget(state, partition, call, cost);
     call.m_may_have_run =
-        call.m_may_have_run || report.m_end == attempt_end::cut;
+        call.m_may_have_run || report.m_end == attempt_end::aborted;
     if (call.m_started)
     {
         enqueue_ready(state, call, out);
         return;
     }
-    // Reserve again, from the start: the first attempt may have cost tokens.
+    // Reserve again in full: the first attempt may have used tokens.
     if (auto* session = find_session(partition, call.m_request.m_session))
         session->m_active.clear();
-    begin_next(state, partition, call.m_request.m_session, out);
+    start_next_call(state, partition, call.m_request.m_session, out);
 }
 
 void fail_unsent(core_state& state, call_row& call, const call_report& report,
@@ -182,22 +185,22 @@
     reply.m_retry_after = short_retry;
     if (call.m_may_have_run)
         reply.m_outcome = outcome::unknown;
-    // A `started` record must be closed before `not_run` may be said.
+    // A `started` record needs an `ended` record before `not_run` is reported.
     if (call.m_started)
         record_end(state, call, std::move(reply), 0, out);
     else
         finish_call(state, call, std::move(reply), out);
 }
 
-void fail_cut(core_state& state, call_row& call, const call_report& report,
-              command_list& out)
+void fail_aborted(core_state& state, call_row& call, const call_report& report,
+                  command_list& out)
 {
     const auto cost = call.m_cost_bound;
     if (!call.m_request.m_repeatable)
     {
         record_end(state, call,
                    answer_of(call, outcome::unknown, status_bad_gateway,
-                             "the reply was cut off: " + report.m_reason),
+                             "the response was incomplete: " + report.m_reason),
                    cost, out);
         return;
     }
@@ -209,7 +212,7 @@
     auto& partition = state.m_partitions[call.m_partition];
     settle_budget(state, partition, call, cost);
     auto reply = answer_of(call, outcome::unknown, status_bad_gateway,
-                           "the reply was cut off: " + report.m_reason);
+                           "the response was incomplete: " + report.m_reason);
     reply.m_retry_after = short_retry;
     finish_call(state, call, std::move(reply), out);
 }
@@ -232,9 +235,9 @@
     record_end(state, call, std::move(reply), cost, out);
 }
 
-/// An engine that answers with an error status has not run the call.
-void refused_by_engine(core_state& state, call_row& call,
-                       const call_report& report, command_list& out)
+/// An engine that responds with an error status has not run the call.
+void rejected_by_engine(core_state& state, call_row& call,
+                        const call_report& report, command_list& out)
 {
     if (report.m_status == status_too_many ||
         report.m_status == status_unavailable)
@@ -306,19 +309,19 @@
     if (root != nullptr && (root->m_ending || one_off))
         on_program_end(state, {{}, {}, key.m_program}, out);
     else
-        begin_next(state, partition, key, out);
+        start_next_call(state, partition, key, out);
 }
 
 void end_without_report(core_state& state, call_row& call,
                         const std::string& reason, command_list& out)
 {
     call_report report;
-    report.m_end = attempt_end::cut;
+    report.m_end = attempt_end::aborted;
     report.m_no_retry = true;
     report.m_reason = reason;
-    note_attempt_ended(state, call, nullptr);
+    record_attempt_end(state, call, nullptr);
     call.m_state = call_state::ending;
-    fail_cut(state, call, report, out);
+    fail_aborted(state, call, report, out);
 }
 
 void finish_not_run(core_state& state, call_row& call, int status,
@@ -335,8 +338,8 @@
         finish_call(state, call, std::move(reply), out);
         return;
     }
-    // This VM made the `started` record and will never act on it, so nobody
-    // sends the call; the record is closed behind the answer.
+    // This VM wrote the `started` record and will not grant the call, so nobody
+    // sends it; the `ended` record is committed after the result is sent.
     ended_record ended;
     ended.m_call = call.m_request.m_id;
     ended.m_session = call.m_request.m_session;
@@ -352,12 +355,12 @@
 {
     const auto id = call.m_request.m_id;
     const auto partition = call.m_partition;
-    // An entry VM that is using a grant waits for nothing here and hears of
-    // the change when it reports.
+    // An entry VM that is using a grant ignores the redirect and learns of the
+    // new owner when it reports.
     for (const auto& target : call.m_waiters)
         out.emplace_back(send_decision{target.m_entry_vm,
                                        redirect{target.m_call, partition, {}}});
-    trace(state, id, "partition is changing hands");
+    trace(state, id, "partition is being handed over");
     remove_call(state, id);
 }
 
@@ -378,15 +381,15 @@
     }
     if (report.m_attempt != call->m_attempt)
         return;
-    note_attempt_ended(state, *call, &report);
+    record_attempt_end(state, *call, &report);
     call->m_state = call_state::ending;
     switch (report.m_end)
     {
     case attempt_end::not_sent:
         fail_unsent(state, *call, report, out);
         return;
-    case attempt_end::cut:
-        fail_cut(state, *call, report, out);
+    case attempt_end::aborted:
+        fail_aborted(state, *call, report, out);
         return;
     case attempt_end::complete:
         break;
@@ -394,14 +397,15 @@
     if (call->m_request.m_kind == call_kind::chat &&
         report.m_status != status_ok)
     {
-        refused_by_engine(state, *call, report, out);
+        rejected_by_engine(state, *call, report, out);
         return;
     }
     count_wasted(state, *call, report);
     complete(state, *call, report, out);
 }
 
-void on_caller_left(core_state& state, const call_id& id, command_list& out)
+void on_caller_disconnected(core_state& state, const call_id& id,
+                            command_list& out)
 {
     auto* call = find_call(state, id);
     if (call == nullptr)
@@ -409,7 +413,7 @@
     const bool unsent = call->m_state == call_state::waiting_turn ||
                         call->m_state == call_state::ready;
     if (unsent && call->m_waiters.size() <= 1)
-        finish_not_run(state, *call, status_gone, "the caller left",
+        finish_not_run(state, *call, status_gone, "the caller disconnected",
                        milliseconds{0}, out);
 }
 
--- a/test/fleet/test_budget_calls.cpp
+++ b/test/fleet/test_budget_calls.cpp
@@ -54,7 +54,7 @@
 TEST_CASE("a budget holds where callers bring their history", "[proxy]")
 {
     // If only routes that store turns reserved tokens, such programs would
-    // spend a multiple (four times) of their budget.
+    // spend four times their budget.
     budget_fixture edge;
     edge.m_first.script({{event_answer({"a", "b", "c"})}});
     edge.m_second.script({{event_answer({"a", "b", "c"})}});
