--- a/src/fleet/status_server.cpp
+++ b/src/fleet/status_server.cpp
@@ -12,7 +12,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr milliseconds idle_patience{30000};
+constexpr milliseconds idle_timeout{30000};
 constexpr const char* metrics_path = "/metrics";
 
 } // namespace
@@ -31,7 +31,7 @@
     return true;
 }
 
-void status_server::listen_beside(const std::string& address)
+void status_server::listen_optional(const std::string& address)
 {
     if (address.empty())
         return;
@@ -63,12 +63,12 @@
 {
     boost::beast::tcp_stream stream(std::move(socket));
     boost::beast::flat_buffer buffer;
-    bool go_on = true;
-    while (go_on)
+    bool keep_open = true;
+    while (keep_open)
     {
         error_code ec;
         http::request<http::string_body> request;
-        stream.expires_after(idle_patience);
+        stream.expires_after(idle_timeout);
         co_await http::async_read(stream, buffer, request, into(ec));
         if (ec)
             break;
@@ -79,11 +79,11 @@
         else
             response.result(m_ready() ? http::status::ok
                                       : http::status::service_unavailable);
-        go_on = request.keep_alive();
-        response.keep_alive(go_on);
+        keep_open = request.keep_alive();
+        response.keep_alive(keep_open);
         response.prepare_payload();
         co_await http::async_write(stream, response, into(ec));
-        go_on = go_on && !ec;
+        keep_open = keep_open && !ec;
     }
     stream.close();
 }
--- a/test/fleet/test_resumed_streams.cpp
+++ b/test/fleet/test_resumed_streams.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
-// Streams that go on at another runner.
+// Streams that are resumed at another runner.
 #include "pepperturn/forward/stream_relay.hpp"
 
-#include "support/fleet/lonely_edge.hpp"
+#include "support/fleet/isolated_edge.hpp"
 
 namespace {
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a stream that breaks goes on at another runner", "[proxy][resume]")
+TEST_CASE("a broken stream is resumed at another runner", "[proxy][resume]")
 {
     struct sample
     {
@@ -36,16 +36,16 @@
         {"closed within an event",
          {event_answer({"a", "b"}, false) + chunk_of("id: 3\ndata: c"), true,
           after::close}},
-        {"silent after an event", {event_answer({"a", "b"}, false)}},
+        {"no data after an event", {event_answer({"a", "b"}, false)}},
     };
     for (const auto& each : samples)
     {
         INFO(each.m_name);
-        lonely_edge edge;
+        isolated_edge edge;
         edge.m_first.script({each.m_first});
         edge.m_second.script({{event_answer({"c", "d"}, true, 3)}});
         const auto got =
-            edge.ask(proxy_world::post("/resume/", "x"), whole_end);
+            edge.ask(proxy_fixture::post("/resume/", "x"), whole_end);
         for (const char* event : {"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n",
                                   "id: 3\ndata: c\n\n", "id: 4\ndata: d\n\n"})
             CHECK(count(got, event) == 1);
@@ -53,27 +53,27 @@
         CHECK(has(got, whole_end));
         REQUIRE(edge.m_second.requests().size() == 1);
         CHECK(has(edge.m_second.requests().front(), "Last-Event-Id: 2\r\n"));
-        // The run that was left behind is ended.
+        // The abandoned run is ended.
         if (each.m_first.m_after == after::keep)
             CHECK(run_until(edge.m_io,
                             [&] { return edge.m_first.closed() == 1; }));
     }
 }
 
-TEST_CASE("a first event that does not come is asked for elsewhere",
+TEST_CASE("a missing first event is requested from another runner",
           "[proxy][resume]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{""}});
     edge.m_second.script({{event_answer({"a"})}});
-    const auto got = edge.ask(proxy_world::post("/resume/", "x"), whole_end);
+    const auto got = edge.ask(proxy_fixture::post("/resume/", "x"), whole_end);
     CHECK(has(got, "data: a"));
     REQUIRE(edge.m_second.requests().size() == 1);
     CHECK_FALSE(has(edge.m_second.requests().front(), "Last-Event-Id"));
     CHECK(run_until(edge.m_io, [&] { return edge.m_first.closed() == 1; }));
 }
 
-TEST_CASE("a stream that nobody goes on with does not look whole",
+TEST_CASE("a stream that cannot be resumed does not look complete",
           "[proxy][resume]")
 {
     const auto second = GENERATE(values<runner_step>({
@@ -82,10 +82,10 @@
         {event_answer({"b"}, false, 2), true, after::close},
         {"", true, after::reset},
     }));
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{event_answer({"a"}, false), true, after::close}});
     edge.m_second.script({second});
-    const auto got = edge.ask(proxy_world::post("/resume/", "x"), "never");
+    const auto got = edge.ask(proxy_fixture::post("/resume/", "x"), "never");
     CHECK(count(got, "data: a") == 1);
     CHECK(count(got, "HTTP/1.1 ") == 1);
     CHECK_FALSE(has(got, whole_end));
@@ -94,17 +94,18 @@
     CHECK(edge.m_second.requests().size() == 1);
 }
 
-TEST_CASE("a caller that takes a stream up again is passed on",
+TEST_CASE("a caller's own resumption of a stream is forwarded",
           "[proxy][resume]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     const bool cut_at_once = GENERATE(true, false);
-    const runner_step cut{cut_at_once ? "" : event_answer({"h"}, false, 8),
-                          true, cut_at_once ? after::reset : after::close};
-    edge.m_first.script({cut});
+    const runner_step aborted{cut_at_once ? "" : event_answer({"h"}, false, 8),
+                              true, cut_at_once ? after::reset : after::close};
+    edge.m_first.script({aborted});
     edge.m_second.script({{event_answer({"i"}, true, cut_at_once ? 8 : 9)}});
-    const auto got = edge.ask(
-        proxy_world::post("/resume/", "x", "Last-Event-Id: 7\r\n"), whole_end);
+    const auto got =
+        edge.ask(proxy_fixture::post("/resume/", "x", "Last-Event-Id: 7\r\n"),
+                 whole_end);
     CHECK(has(got, "data: i"));
     CHECK(count(edge.m_first.requests().front(), "Last-Event-Id: 7\r\n") == 1);
     const auto& next = edge.m_second.requests().front();
@@ -112,23 +113,23 @@
     CHECK(has(next, cut_at_once ? "Last-Event-Id: 7" : "Last-Event-Id: 8"));
 }
 
-TEST_CASE("an event's id that is no number is refused", "[proxy][resume]")
+TEST_CASE("an event id that is not a number is refused", "[proxy][resume]")
 {
-    lonely_edge edge;
+    isolated_edge edge;
     edge.m_first.script({{event_answer({"a"})}});
     const auto* id = GENERATE("-1", "first", "", "99999999999999999999");
     const auto got = edge.ask(
-        proxy_world::post("/resume/", "x",
-                          std::string("Last-Event-Id: ") + id + "\r\n"),
+        proxy_fixture::post("/resume/", "x",
+                            std::string("Last-Event-Id: ") + id + "\r\n"),
         "\r\n\r\n");
     CHECK(has(got, "HTTP/1.1 400 "));
     CHECK(edge.m_first.requests().empty());
 }
 
-TEST_CASE("bytes are passed on whole events at a time", "[resume]")
+TEST_CASE("only complete events are relayed", "[resume]")
 {
-    // Cut anywhere, what is passed on and what a next run adds make the
-    // stream, each event once.
+    // Wherever the stream is cut, the relayed bytes and those of the next run
+    // make up the whole stream, each event once.
     const std::string all = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                             "id: 3\ndata: c\n\n";
     for (std::size_t at = 0; at <= all.size(); ++at)
--- a/test/fleet/test_storage_vms.cpp
+++ b/test/fleet/test_storage_vms.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "support/fleet/storage_world.hpp"
+#include "support/fleet/storage_fixture.hpp"
 
 #include <array>
 #include <boost/asio/write.hpp>
@@ -14,14 +14,14 @@
 
 TEST_CASE("three VMs that start at once all become full", "[fleet]")
 {
-    // Two that joined together once waited for each other for ever.
-    storage_world fleet;
+    // Two that join at the same time must not wait for each other forever.
+    storage_fixture fleet;
     fleet.start_three();
 }
 
-TEST_CASE("a VM that is to be emptied hands everything over first", "[fleet]")
+TEST_CASE("a VM to be emptied hands over all data first", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     REQUIRE(fleet.keep("b", "a"));
@@ -31,14 +31,14 @@
                std::string::npos;
     }));
     REQUIRE(fleet.wait_for("vm-0Fvm-2F"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
-TEST_CASE("a storage VM tells its figures", "[fleet]")
+TEST_CASE("a storage VM reports its metrics", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     tcp::socket reader(fleet.m_io);
@@ -52,25 +52,25 @@
     asio::write(reader, asio::buffer(question), ec);
     REQUIRE_FALSE(ec);
     reader.non_blocking(true);
-    std::string told;
+    std::string text;
     REQUIRE(run_until(fleet.m_io, [&] {
         std::array<char, 4096> chunk{};
         error_code read;
         const auto count = reader.read_some(asio::buffer(chunk), read);
-        told.append(chunk.data(), count);
+        text.append(chunk.data(), count);
         return read && read != asio::error::would_block;
     }));
     for (const char* name : {"turns 1", "programs 1", "view_members 3",
                              "questions_ok ", "sync_ms{le=\"30000\"} "})
     {
         INFO(name);
-        CHECK(told.find(std::string("\n") + name) != std::string::npos);
+        CHECK(text.find(std::string("\n") + name) != std::string::npos);
     }
 }
 
-TEST_CASE("figures give way to frames on the same port", "[fleet]")
+TEST_CASE("frames take precedence over metrics on the same port", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     storage_vm vm(fleet.m_io, fleet.m_time, fleet.m_store.address(), "vm-0",
                   fleet.m_folder + "/vm-0", true, false);
     REQUIRE(fleet.wait_for("vm-0F"));
@@ -82,30 +82,30 @@
 
 TEST_CASE("of three VMs one is emptied and one is lost: turns go on", "[fleet]")
 {
-    // The view once had no way out of this, also with another VM added.
-    storage_world fleet;
+    // The view must be able to leave this state when another VM is added.
+    storage_fixture fleet;
     fleet.start_three();
     REQUIRE(fleet.keep("a", ""));
     fleet.m_store.put("op/retire/vm-1", R"({"duration_s":10})");
     REQUIRE(fleet.wait_for("vm-0Fvm-2F"));
     fleet.lose("vm-2");
     fleet.add("vm-3", false);
-    // The new one has its copies, then the silent one is taken for lost, and
-    // dropped once nothing can be on it alone.
+    // The new VM has its copies, then the unresponsive one is marked lost, and
+    // removed once no data can be on it alone.
     REQUIRE(fleet.wait_for("vm-0Fvm-2Fvm-3F"));
     REQUIRE(
         run_until(fleet.m_io, [&] { return fleet.m_links.connected("vm-3"); }));
     CHECK(fleet.keep("b", "a"));
     REQUIRE(fleet.wait_for("vm-0Fvm-3F"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
 }
 
-TEST_CASE("the last VM acknowledges nothing alone, and goes on with the other",
+TEST_CASE("the last VM acknowledges nothing alone, and resumes with another",
           "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     fleet.m_store.put("op/retire/vm-1", R"({"duration_s":10})");
     REQUIRE(fleet.wait_for("vm-0Fvm-2F"));
@@ -116,7 +116,7 @@
     REQUIRE(fleet.wait_for("vm-0Fvm-2X"));
     // One copy would be lost with one disk.
     const auto refused =
-        fleet.begin(storage_world::request("b", "a"), milliseconds(300));
+        fleet.begin(storage_fixture::request("b", "a"), milliseconds(300));
     CHECK(refused.m_outcome == begin_outcome::unavailable);
     fleet.m_stopped.push_back(std::move(fleet.m_vms["vm-2"]));
     fleet.add("vm-2", false);
@@ -124,16 +124,16 @@
     REQUIRE(
         run_until(fleet.m_io, [&] { return fleet.m_links.connected("vm-2"); }));
     REQUIRE(fleet.keep("b", "a"));
-    const auto result = fleet.begin(storage_world::request("c", "b"));
+    const auto result = fleet.begin(storage_fixture::request("c", "b"));
     CHECK(result.m_outcome == begin_outcome::granted);
-    CHECK(storage_world::text_of(result) == "in-a;out-a;in-b;out-b;");
+    CHECK(storage_fixture::text_of(result) == "in-a;out-a;in-b;out-b;");
     CHECK(fleet.m_store.value_of("status/retire/vm-0").find("completed") ==
           std::string::npos);
 }
 
-TEST_CASE("an added VM copies what was kept before it came", "[fleet]")
+TEST_CASE("an added VM copies what was stored before it joined", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.start_three();
     for (int i = 0; i < 40; ++i)
         REQUIRE(fleet.keep("t" + std::to_string(i),
@@ -158,9 +158,9 @@
     CHECK(turns == 40);
 }
 
-TEST_CASE("the world is remembered over a restart", "[fleet]")
+TEST_CASE("the cluster state is kept over a restart", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     fleet.m_store.put("op/config", R"({"version":4})");
     fleet.m_store.put("servers/i-1", R"({"service":"a","seq":1})");
     fleet.start_three();
@@ -168,7 +168,7 @@
         return !fleet.m_state.m_config.empty() &&
                !fleet.m_state.m_runners.empty();
     }));
-    // A little longer than it takes until the last news is written.
+    // A little longer than it takes until the last update is written.
     const auto saved = std::chrono::steady_clock::now() + milliseconds(300);
     run_until(fleet.m_io,
               [&] { return std::chrono::steady_clock::now() >= saved; });
@@ -176,22 +176,22 @@
     fleet.m_store.set_down(true);
     fleet.restart("vm-0");
     member_links newcomer(fleet.m_io, fleet.m_time, "edge-2");
-    cluster_state heard;
-    newcomer.on_state([&](const std::string&, const cluster_state& news) {
-        merge_state(heard, news);
+    cluster_state received;
+    newcomer.on_state([&](const std::string&, const cluster_state& update) {
+        merge_state(received, update);
     });
     newcomer.connect_seeds(
         {"127.0.0.1:" + std::to_string(fleet.m_vms["vm-0"]->m_port)});
-    REQUIRE(run_until(fleet.m_io, [&] { return !heard.m_views.empty(); }));
-    CHECK(heard.m_config == R"({"version":4})");
-    CHECK(heard.m_views.front().m_members.size() == 3);
-    REQUIRE(heard.m_runners.size() == 1);
-    CHECK(heard.m_runners.front().m_name == "i-1");
+    REQUIRE(run_until(fleet.m_io, [&] { return !received.m_views.empty(); }));
+    CHECK(received.m_config == R"({"version":4})");
+    CHECK(received.m_views.front().m_members.size() == 3);
+    REQUIRE(received.m_runners.size() == 1);
+    CHECK(received.m_runners.front().m_name == "i-1");
 }
 
-TEST_CASE("a VM tells what it knows before its disk is loaded", "[fleet]")
+TEST_CASE("a VM sends its state before its disk is loaded", "[fleet]")
 {
-    storage_world fleet;
+    storage_fixture fleet;
     turn_log log(fleet.m_folder + "/loading", 1U << 20U);
     turn_store store(log);
     std::string reason;
@@ -207,23 +207,23 @@
                         member_state::full}}}};
     server.apply_state(known);
     member_links newcomer(fleet.m_io, fleet.m_time, "edge-2");
-    cluster_state heard;
-    newcomer.on_state([&](const std::string&, const cluster_state& news) {
-        if (!merge_state(heard, news).m_views.empty())
-            newcomer.set_members(members_of(heard.m_views));
+    cluster_state received;
+    newcomer.on_state([&](const std::string&, const cluster_state& update) {
+        if (!merge_state(received, update).m_views.empty())
+            newcomer.set_members(members_of(received.m_views));
     });
     newcomer.connect_seeds({"127.0.0.1:" + std::to_string(port)});
     REQUIRE(run_until(fleet.m_io, [&] { return newcomer.connected("vm-9"); }));
-    CHECK(heard.m_config == "three");
+    CHECK(received.m_config == "three");
     const auto ask = [&] {
         const auto answer = run_task(
             fleet.m_io, newcomer.request("vm-9", 5, fetch_message{"a"},
-                                         fleet.m_time.now() + usual_patience));
+                                         fleet.m_time.now() + default_timeout));
         REQUIRE(answer.has_value());
         REQUIRE(answer->has_value());
         return (*answer)->m_status;
     };
-    // Nothing is said of what may be on the disk.
+    // Requests for data that may be on the disk fail.
     CHECK(ask() == frame_status::failed);
     server.open(7);
     CHECK(ask() == frame_status::ok);
--- a/test/support/fleet/proxy_world.hpp
+++ b/test/support/fleet/proxy_fixture.hpp
@@ -17,10 +17,10 @@
 namespace pepperturn::test {
 
 /// A proxy with two runners of one service and a caller's raw connection.
-class proxy_world
+class proxy_fixture
 {
 public:
-    proxy_world(asio::io_context& io, turn_client& turns)
+    proxy_fixture(asio::io_context& io, turn_client& turns)
         : m_io(io), m_turns(turns),
           m_proxy(m_io, m_time, wire_names{}, "z", m_turns), m_first(m_io),
           m_second(m_io), m_caller(m_io)
@@ -29,7 +29,7 @@
         std::string reason;
         REQUIRE(m_proxy.listen(endpoint(), reason));
         m_proxy.apply_config(config(1));
-        // The draw among equals is fixed by the zones.
+        // Different zones make the choice among equal runners deterministic.
         m_proxy.set_runners({{"r1", "svc", m_first.address(), "z", 4, false},
                              {"r2", "svc", m_second.address(), "y", 4, false}});
     }
--- a/test/support/fleet/storage_world.hpp
+++ b/test/support/fleet/storage_fixture.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
 /// \file
-/// Storage VMs on disks of their own, the platform's store and an edge VM's
+/// Storage VMs with separate disks, the platform's store and an edge VM's
 /// client, in one process.
 #pragma once
 
@@ -22,7 +22,7 @@
 
 inline constexpr std::uint32_t retention_ms = 60000;
 /// A sync of a busy machine's disk may take seconds.
-inline constexpr milliseconds usual_patience{8000};
+inline constexpr milliseconds default_timeout{8000};
 
 /// A storage VM with a disk that may outlive it.
 struct storage_vm
@@ -77,18 +77,18 @@
 };
 
 /// Storage VMs, a store, and an edge VM's client.
-class storage_world
+class storage_fixture
 {
 public:
-    storage_world()
+    storage_fixture()
         : m_store(m_io), m_edge_source(m_io, m_time, m_store.address()),
           m_links(m_io, m_time, "edge"),
           m_client(m_io, m_time, m_links, "vm-0", 1)
     {
         m_folder = make_scratch_folder("fleet");
         REQUIRE_FALSE(m_folder.empty());
-        m_edge_source.on_state([this](const cluster_state& news) {
-            if (!merge_state(m_state, news).m_views.empty())
+        m_edge_source.on_state([this](const cluster_state& update) {
+            if (!merge_state(m_state, update).m_views.empty())
             {
                 m_links.set_members(members_of(m_state.m_views));
                 m_client.follow(m_state.m_views);
@@ -96,9 +96,9 @@
         });
         m_edge_source.start();
     }
-    ~storage_world() = default;
-    storage_world(const storage_world&) = delete;
-    storage_world& operator=(const storage_world&) = delete;
+    ~storage_fixture() = default;
+    storage_fixture(const storage_fixture&) = delete;
+    storage_fixture& operator=(const storage_fixture&) = delete;
 
     void add(const std::string& name, bool bootstrap = true)
     {
@@ -123,7 +123,7 @@
     {
         return run_until(m_io, [&] { return states() == expected; });
     }
-    /// Ends a VM that does not come back.
+    /// Stops a VM for good.
     void lose(const std::string& name)
     {
         m_vms[name]->m_node->stop();
@@ -143,8 +143,7 @@
         }));
     }
 
-    /// Ends all VMs and starts them anew with their disks, at the same
-    /// addresses.
+    /// Restarts all VMs with their disks, at the same addresses.
     void restart_all()
     {
         std::map<std::string, std::uint16_t> ports;
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Stops a VM and starts it anew with its disk, at another address.
+    /// Restarts a VM with its disk, at another address.
     void restart(const std::string& name)
     {
         m_vms[name]->m_node->stop();
@@ -185,10 +184,10 @@
                 retention_ms,      parent};
     }
     begin_result begin(const begin_request& what,
-                       milliseconds patience = usual_patience)
+                       milliseconds timeout = default_timeout)
     {
         auto result =
-            run_task(m_io, m_client.begin(what, m_time.now() + patience));
+            run_task(m_io, m_client.begin(what, m_time.now() + timeout));
         REQUIRE(result.has_value());
         return *result;
     }
@@ -198,9 +197,9 @@
                               turn_record{id, parent, "in-" + id + ';',
                                           "out-" + id + ';', "run",
                                           key_of("program"), key_of(id), 30}};
-        const auto kept = run_task(
-            m_io, m_client.store(entry, m_time.now() + usual_patience));
-        return kept.value_or(false);
+        const auto stored = run_task(
+            m_io, m_client.store(entry, m_time.now() + default_timeout));
+        return stored.value_or(false);
     }
     static std::string text_of(const begin_result& result)
     {
@@ -217,10 +216,10 @@
     member_links m_links;
     turn_client m_client;
     cluster_state m_state;
-    /// How long a key that was taken away may be used, of VMs added later.
+    /// Maximum time that a revoked key is accepted, for VMs added later.
     std::uint32_t m_revoke_ms = 5000;
     std::string m_folder;
-    /// Goes after the VMs, whose writers may be at work until they end.
+    /// Destroyed after the VMs, whose writers may be running until then.
     folder_remover m_remover{m_folder};
     std::map<std::string, std::unique_ptr<storage_vm>> m_vms;
     std::vector<std::unique_ptr<storage_vm>> m_stopped;
