--- a/src/forward/proxy.cpp
+++ b/src/forward/proxy.cpp
@@ -410,7 +410,7 @@
         // Isolated from all storage VMs: another edge VM may not be, so the
         // caller has to reconnect.
         work->m_keep_alive = false;
-        co_return refuse(*work, "this VM is connected to no storage VM",
+        co_return refuse(*work, "this VM can reach no storage VM",
                          retry_after_isolated);
     }
     const auto homes = allowed_regions(*work->m_route, owner);
--- a/src/forward/proxy_workspaces.cpp
+++ b/src/forward/proxy_workspaces.cpp
@@ -136,8 +136,10 @@
           << grant.m_owners_asked << ')';
     auto reason = limit.str();
     if (grant.m_outcome == quota_outcome::not_owner)
-        co_return refuse(*work, reason + ": no owner of the limit is reachable",
-                         retry_after_no_reply + spread);
+        co_return refuse(
+            *work,
+            reason + ": no decision received from any owner of the limit",
+            retry_after_no_reply + spread);
     if (grant.m_request.m_begins_program)
         reason += " allows no further program now";
     constexpr unsigned too_many_requests = 429;
